--- a/src/entry/_lib/readBody.ts
+++ b/src/entry/_lib/readBody.ts
@@ -2,7 +2,7 @@
 import { BodyError, HttpRequest } from "../../ports/index.js";
 import { CallerError } from "../callerError/index.js";
 
-/** Reads a request's body, turning what can go wrong into the caller's error. */
+/** Reads a request's body; maps a body error to the `CallerError` that the caller receives. */
 export async function readBody(req: HttpRequest, limitBytes: number): Promise<Either<CallerError, Uint8Array>> {
     return (await req.body(limitBytes)).mapLeft(err => toCallerError(err, limitBytes));
 }
--- a/src/entry/admitRequest/index.ts
+++ b/src/entry/admitRequest/index.ts
@@ -7,31 +7,31 @@
 import { EntryContext } from "../entryContext/index.js";
 import { PresentedKey, readKey } from "../readKey/index.js";
 
-/** A caller that was let in. */
+/** An authenticated caller: its key and the workspace of the key. */
 export interface Admission {
     readonly key: PresentedKey;
     readonly workspace: WorkspaceView;
 }
 
-const RETRY_SOON_MS = 1_000;
-const RETRY_OTHER_HOST_MS = 500;
+const RETRY_AFTER_MS = 1_000;
+const OTHER_HOST_RETRY_AFTER_MS = 500;
 
 /**
- * Lets a caller in by its key. The workspace comes from the key alone.
+ * Admits a request by its key, unless this host is draining, out of date or at capacity. The workspace is determined by the key alone.
  *
- * Guards against an entry cut off from the control processes: past its freshness lease it could accept a key that was
- * withdrawn, so that it refuses all new work until it has a view again.
+ * Prevents use of withdrawn keys: an entry that is cut off from the control processes does not learn of withdrawals, so
+ * once its freshness lease has expired it refuses all new work until it has a fresh view.
  */
 export function admitRequest(ctx: EntryContext, req: HttpRequest): Either<CallerError, Admission> {
     return readKey(req).chain(key => {
-        if (ctx.isRefusing()) return Left(unavailable("draining", "this host is stopping", RETRY_OTHER_HOST_MS));
+        if (ctx.isRefusing()) return Left(unavailable("draining", "this host is stopping", OTHER_HOST_RETRY_AFTER_MS));
         if (!ctx.control.isFresh()) {
             return Left(
-                unavailable("stale-view", "this host has lost touch with the control processes", RETRY_SOON_MS),
+                unavailable("stale-view", "this host has lost touch with the control processes", RETRY_AFTER_MS),
             );
         }
         if (ctx.requests.size >= ctx.limits.requests) {
-            return Left(unavailable("over-capacity", "too many requests are under way on this host", RETRY_SOON_MS));
+            return Left(unavailable("over-capacity", "too many requests are under way on this host", RETRY_AFTER_MS));
         }
         const workspace = ctx.control.findWorkspace(key.hash);
         if (!workspace) return Left(new CallerError(401, "key-unknown", "the key is unknown or was withdrawn"));
@@ -40,9 +40,9 @@
 }
 
 /**
- * Chooses the service class: the one the caller names, else the workspace's default.
+ * Chooses the service class: the one that the caller names, else the workspace's default.
  *
- * @param named - A class named in the body; the header goes before it.
+ * @param named - Class named in the body; the header takes precedence.
  */
 export function chooseClass(
     req: HttpRequest,
--- a/src/entry/announcementSpreader/index.ts
+++ b/src/entry/announcementForwarder/index.ts
@@ -8,13 +8,13 @@
 const SPREAD_METHOD = "upstream.spread";
 
 /**
- * Passes announcements on to the owner of each pool's queue and to the host that would own it next, so that a new owner
- * knows its upstreams at once. No other host needs them: nothing grows with hosts × upstreams.
+ * Forwards upstreams' announcements to the owner of each pool's queue and to the host that would own it next, so that a new
+ * owner knows its upstreams immediately. No other host needs them, so traffic does not grow with hosts × upstreams.
  *
  * @example
- * serveAnnouncements(announcement => spreader.take(announcement));
+ * serveAnnouncements(announcement => forwarder.accept(announcement));
  */
-export class AnnouncementSpreader {
+export class AnnouncementForwarder {
     constructor(
         private readonly registry: UpstreamRegistry,
         private readonly directory: PeerDirectory,
@@ -22,23 +22,23 @@
         private readonly self: HostId,
     ) {}
 
-    /** Takes what other entries pass on. */
+    /** Registers the method that accepts announcements forwarded by other entries. */
     addTo(router: PeerRouter): void {
         router.add(SPREAD_METHOD, body => {
             this.registry.merge(body as SpreadRecord[]);
         });
     }
 
-    /** Takes an announcement from the upstream itself. */
-    take(announcement: Announcement): void {
+    /** Applies an announcement received from the upstream itself, and forwards it if the registry accepts it. */
+    accept(announcement: Announcement): void {
         if (!this.registry.announce(announcement)) return;
         const records: SpreadRecord[] = [{ announcement, ageMs: 0 }];
-        for (const host of this.targets(announcement)) {
+        for (const host of this.listTargets(announcement)) {
             if (host !== this.self) this.directory.linkTo(host)?.notify(SPREAD_METHOD, records);
         }
     }
 
-    private targets(announcement: Announcement): Set<HostId> {
+    private listTargets(announcement: Announcement): Set<HostId> {
         const hosts = this.directory.queueHosts();
         const targets = new Set<HostId>();
         for (const pool of announcement.pools) {
--- a/src/entry/callRecord/index.ts
+++ b/src/entry/callRecord/index.ts
@@ -8,25 +8,26 @@
 import { EntryContext } from "../entryContext/index.js";
 import { CallIdentity } from "../prepareService/index.js";
 
-/** A record that this request has open, or the answer that an earlier one got. */
+/** Result of `openCall`: a record opened by this request, or the recorded answer of an earlier one. */
 export type OpenedCall =
     | { readonly kind: "opened"; readonly record: CallRecord; }
     | { readonly kind: "answered"; readonly answer: CallAnswer; };
 
-const JOIN_PAUSE_MS = 100;
-const RETRY_JOIN_MS = 1_000;
-const RETRY_CONTROL_MS = 1_000;
-/** Ten minutes: longer than control processes are without a majority. */
-const FINISH_TRIES = 1_200;
-const FINISH_PAUSE_MS = 500;
+/** Interval at which a request that joined a running call checks for its answer, in milliseconds. */
+const JOIN_POLL_MS = 100;
+const JOIN_RETRY_AFTER_MS = 1_000;
+const CONTROL_RETRY_AFTER_MS = 1_000;
+/** Ten minutes of attempts: longer than the control processes are without a majority. */
+const MAX_FINISH_ATTEMPTS = 1_200;
+const FINISH_RETRY_DELAY_MS = 500;
 
 /**
  * The record of one non-repeatable call in the control log.
  *
- * Guards against a call that runs twice: a caller that lost its answer sends the call again through another host, while
- * the first may be queued, running, or done. The record is committed before the call may leave, and only the request that
- * opened it sends the call; all others join it. A host that ends in between leaves the record "unknown", which
- * nobody opens again.
+ * Prevents a call from running twice: a caller that lost its answer resends the call through another host, while the first
+ * may be queued, running, or done. The record is committed before the call may be sent, and only the request that opened it
+ * sends the call; all others join it. If the host ends in between, the record becomes "unknown" and is never opened
+ * again.
  */
 export class CallRecord {
     constructor(
@@ -37,8 +38,8 @@
     ) {}
 
     /**
-     * Closes the record. When the control log can't be reached this goes on in the background: until it is done, a resend
-     * finds the call running, and never runs it again.
+     * Closes the record. While the control log can't be reached, this is retried in the background; until it succeeds, a
+     * resend finds the call running and does not run it again.
      */
     async finish(outcome: FinishCallCommand["outcome"], answer?: CallAnswer): Promise<void> {
         const command: FinishCallCommand = {
@@ -51,18 +52,18 @@
             usage: outcome === "answered" ? this.describeUsage() : undefined,
         };
         if (await this.tryFinish(command)) return;
-        void this.keepTrying(command);
+        void this.retryFinish(command);
     }
 
     private describeUsage(): UsageSum {
         const { workspace, pool, className } = this.run.identity;
         const line = { workspace, pool, class: className, requests: 1, prompt_tokens: 0, completion_tokens: 0 };
-        return { window: this.ctx.meter.presentWindow(), line };
+        return { window: this.ctx.meter.currentWindow(), line };
     }
 
-    private async keepTrying(command: FinishCallCommand): Promise<void> {
-        for (let i = 0; i < FINISH_TRIES; i++) {
-            await this.ctx.clock.sleep(FINISH_PAUSE_MS);
+    private async retryFinish(command: FinishCallCommand): Promise<void> {
+        for (let i = 0; i < MAX_FINISH_ATTEMPTS; i++) {
+            await this.ctx.clock.sleep(FINISH_RETRY_DELAY_MS);
             if (await this.tryFinish(command)) return;
         }
         this.ctx.logger.error("call-record-left-open", { request: this.run.identity.id });
@@ -75,9 +76,9 @@
 }
 
 /**
- * Opens the record of a call, or joins the one that is there and waits for its answer.
+ * Opens the record of a call, or joins the existing one and waits for its answer.
  *
- * @param maxWaitMs - How long to wait for the answer of a call that runs already.
+ * @param maxWaitMs - Maximum age of the request while it waits for the answer of a call that is already running, in milliseconds.
  */
 export async function openCall(
     ctx: EntryContext,
@@ -99,7 +100,7 @@
             incarnation: self.incarnation,
         }, ctx.limits.commandMs);
         if (begun.isLeft()) {
-            // The record may have been opened all the same; nothing was sent, so it can go.
+            // The record may have been opened nevertheless. Nothing was sent, so it can be closed as not run.
             void record.finish("not-run");
             return Left(
                 new CallerError(
@@ -107,7 +108,7 @@
                     "control-unreachable",
                     "the call could not be recorded",
                     "not-run",
-                    RETRY_CONTROL_MS,
+                    CONTROL_RETRY_AFTER_MS,
                 ),
             );
         }
@@ -115,9 +116,9 @@
         if (result.state === "opened") return Right({ kind: "opened", record });
         if (result.state === "answered") return Right({ kind: "answered", answer: result.answer });
         if (result.state !== "running") return Left(joinError(result.state));
-        if (run.ageMs() >= maxWaitMs || run.isCancelled) return Left(stillRunning());
+        if (run.ageMs() >= maxWaitMs || run.isCancelled) return Left(stillRunningError());
         run.note("joined", `${result.request} on ${result.host}`);
-        await ctx.clock.sleep(JOIN_PAUSE_MS);
+        await ctx.clock.sleep(JOIN_POLL_MS);
     }
 }
 
@@ -129,7 +130,7 @@
     return new CallerError(409, "outcome-unknown", message, "unknown");
 }
 
-function stillRunning(): CallerError {
+function stillRunningError(): CallerError {
     const message = "the call with this idempotency key is still under way; send it again to get its answer";
-    return new CallerError(409, "still-running", message, "unknown", RETRY_JOIN_MS);
+    return new CallerError(409, "still-running", message, "unknown", JOIN_RETRY_AFTER_MS);
 }
--- a/src/entry/callerError/index.ts
+++ b/src/entry/callerError/index.ts
@@ -4,14 +4,14 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** A request that gets an error for an answer: the entry layer's own error. */
+/** An error response to a caller. */
 export class CallerError extends Error {
     /**
      * @param status - The HTTP status.
-     * @param type - A word for programs.
-     * @param message - For people.
-     * @param outcome - What became of the request; must be true.
-     * @param retryAfterMs - When to come back, where that can help.
+     * @param type - Machine-readable error type.
+     * @param message - Human-readable description.
+     * @param outcome - Whether the request ran; callers rely on it when they decide whether to resend.
+     * @param retryAfterMs - Time after which a retry may succeed, in milliseconds; undefined where a retry does not help.
      */
     constructor(
         readonly status: number,
@@ -24,7 +24,7 @@
     }
 }
 
-/** Gives the error as callers get it. */
+/** Converts an error to the JSON body that callers receive. */
 export function toErrorBody(err: CallerError, request: RequestId): ErrorBody {
     return {
         error: {
@@ -38,9 +38,9 @@
 }
 
 /**
- * Answers a request with an error, at once.
+ * Sends an error as the whole response.
  *
- * @param res - Nothing may have been sent on it.
+ * @param res - A response on which nothing has been sent yet.
  */
 export function sendCallerError(res: HttpResponse, err: CallerError, request: RequestId): void {
     const headers: [string, string][] = [
--- a/src/entry/chatSink/index.ts
+++ b/src/entry/chatSink/index.ts
@@ -3,69 +3,69 @@
 import { EngineUsage, OUTCOME_HEADER, REQUEST_HEADER, STREAM_DONE } from "../../protocol/index.js";
 import { CallerError, sendCallerError, toErrorBody } from "../callerError/index.js";
 
-/** What a chat's answer needs to be written. */
-export interface ChatAnswer {
+/** Fields that each chunk or body of a chat's answer repeats. */
+export interface ChatAnswerInfo {
     readonly request: RequestId;
     readonly model: string;
     /** Seconds since the epoch. */
     readonly created: number;
 }
 
-/** Writes a chat's answer to its caller, each token once. */
+/** Writes a chat's answer to its caller, each token exactly once. */
 export abstract class ChatSink {
-    /** How many tokens the sink has taken. */
-    protected taken = 0;
+    /** Number of tokens written to the sink. */
+    protected tokenCount = 0;
 
-    constructor(protected readonly res: HttpResponse, protected readonly answer: ChatAnswer) {}
+    constructor(protected readonly res: HttpResponse, protected readonly answer: ChatAnswerInfo) {}
 
     get tokens(): number {
-        return this.taken;
+        return this.tokenCount;
     }
 
-    /** How many tokens the caller has got, or may have. */
+    /** Number of tokens that the caller has received or may have received. */
     abstract get delivered(): number;
 
-    /** Takes tokens; settles when the caller can take more. */
+    /** Writes tokens; settles when the caller's connection can accept more. */
     abstract write(text: string, tokens: number): Promise<void> | void;
 
-    /** Ends the answer as whole. */
+    /** Completes the answer. */
     abstract finish(finishReason: string, usage: EngineUsage): void;
 
-    /** Ends the answer with an error, at once. */
+    /** Ends the answer with an error. */
     abstract fail(err: CallerError): void;
 }
 
-/** Server-sent events; the head goes out with the first token, so that a refusal before it has a status of its own. */
+/** Streams server-sent events. The response head is sent with the first token, so that an earlier error can still set the status. */
 export class StreamSink extends ChatSink {
-    private headSent = false;
-    private readonly before: string;
+    private isHeadSent = false;
+    private readonly chunkPrefix: string;
 
-    constructor(res: HttpResponse, answer: ChatAnswer) {
+    constructor(res: HttpResponse, answer: ChatAnswerInfo) {
         super(res, answer);
         const fields = `"id":"chatcmpl-${answer.request}","object":"chat.completion.chunk","created":${answer.created}`;
-        this.before = `data: {${fields},"model":${JSON.stringify(answer.model)},"choices":[{"index":0,"delta":`;
+        this.chunkPrefix = `data: {${fields},"model":${JSON.stringify(answer.model)},"choices":[{"index":0,"delta":`;
     }
 
     get delivered(): number {
-        return this.taken;
+        return this.tokenCount;
     }
 
     write(text: string, tokens: number): Promise<void> | void {
         this.sendHead();
-        this.taken += tokens;
-        return this.res.write(`${this.before}{"content":${JSON.stringify(text)}}}]}\n\n`);
+        this.tokenCount += tokens;
+        return this.res.write(`${this.chunkPrefix}{"content":${JSON.stringify(text)}}}]}\n\n`);
     }
 
     finish(finishReason: string, usage: EngineUsage): void {
         this.sendHead();
-        const last = `${this.before}{},"finish_reason":${JSON.stringify(finishReason)}}],"usage":${
+        const last = `${this.chunkPrefix}{},"finish_reason":${JSON.stringify(finishReason)}}],"usage":${
             formatUsage(usage)
         }}\n\n`;
         this.res.end(`${last}data: ${STREAM_DONE}\n\n`);
     }
 
     fail(err: CallerError): void {
-        if (!this.headSent) {
+        if (!this.isHeadSent) {
             sendCallerError(this.res, err, this.answer.request);
             return;
         }
@@ -73,8 +73,8 @@
     }
 
     private sendHead(): void {
-        if (this.headSent) return;
-        this.headSent = true;
+        if (this.isHeadSent) return;
+        this.isHeadSent = true;
         this.res.head(200, [
             ["content-type", "text/event-stream"],
             ["cache-control", "no-store"],
@@ -83,17 +83,17 @@
     }
 }
 
-/** One JSON body, once the answer is whole. */
-export class WholeSink extends ChatSink {
+/** Buffers the answer and sends it as one JSON body when it is complete. */
+export class BufferedSink extends ChatSink {
     private readonly parts: string[] = [];
 
-    /** Nothing before the whole. */
+    /** Always 0: nothing is sent before the answer is complete. */
     get delivered(): number {
         return 0;
     }
 
     write(text: string, tokens: number): void {
-        this.taken += tokens;
+        this.tokenCount += tokens;
         this.parts.push(text);
     }
 
--- a/src/entry/controlAccess/index.ts
+++ b/src/entry/controlAccess/index.ts
@@ -3,28 +3,28 @@
 import { KeyHash } from "../../ids/index.js";
 import { WorkspaceView } from "../../workspace/index.js";
 
-/** A command that got no answer from the control processes. */
+/** A command that the control processes did not answer. */
 export class ControlAccessError extends Error {
-    /** @param mayCommit - False only when the command can't have been taken in. */
+    /** @param mayCommit - False only when the command cannot have been committed. */
     constructor(readonly mayCommit: boolean, detail: string) {
         super(detail);
     }
 }
 
-/** What an entry knows of the control state, and how it changes it. */
+/** An entry's access to the control state: reads from its view, and commands that change the state. */
 export abstract class ControlAccess {
-    /** True while the freshness lease runs: the view is at most a few seconds behind. */
+    /** Whether the freshness lease is valid: the view is then at most a few seconds behind. */
     abstract isFresh(): boolean;
 
-    /** Finds the workspace of a key in force. */
+    /** Finds the workspace of a valid key. */
     abstract findWorkspace(hash: KeyHash): WorkspaceView | undefined;
 
-    /** The entries that the holder has heard from lately, this one among them. */
+    /** The entries that the holder has recently received heartbeats from, this one included. */
     abstract entries(): readonly EntryView[];
 
-    /** Hands a command to the holder and gives the state machine's answer. */
+    /** Sends a command to the holder and returns the state machine's result. */
     abstract command(command: EntryCommand, timeoutMs: number): Promise<Either<ControlAccessError, unknown>>;
 
-    /** Calls back after each change of the view. */
+    /** Registers a listener that is called after each change of the view. */
     abstract onViewChange(listener: () => void): void;
 }
--- a/src/entry/crashWatch/index.ts
+++ b/src/entry/crashMonitor/index.ts
@@ -15,17 +15,17 @@
 import { UpstreamRegistry } from "../../upstream/index.js";
 import { probeUpstream } from "../probeUpstream/index.js";
 
-/** How soon after its first broken call an upstream is looked at, in milliseconds: the others have broken off by then. */
-const LOOK_AFTER_MS = 20;
-/** How long one try of a report may take, and the pause after one that failed, in milliseconds. */
-const REPORT_MS = 5_000;
-const REPORT_PAUSE_MS = 200;
-/** Of one upstream, and of upstreams whose crashes are not reported yet, no more than this are kept. */
-const MOST_CALLS = 256;
-const MOST_CRASHES = 64;
+/** Delay between an upstream's first ended connection and the probe, in milliseconds; its other connections have ended by then. */
+const PROBE_DELAY_MS = 20;
+/** Timeout of one attempt to report crashes, and the delay after a failed attempt, in milliseconds. */
+const REPORT_TIMEOUT_MS = 5_000;
+const REPORT_RETRY_DELAY_MS = 200;
+/** Maximum number of calls recorded for one upstream, and of crashes kept until they are reported. */
+const MAX_CALLS_PER_UPSTREAM = 256;
+const MAX_UNREPORTED_CRASHES = 64;
 
-/** What the watch works with. */
-export interface CrashWatchOptions {
+/** Options of `CrashMonitor`. */
+export interface CrashMonitorOptions {
     readonly clock: Clock;
     readonly network: Network;
     readonly logger: Logger;
@@ -36,8 +36,8 @@
     readonly time: Pick<TrueTime, "now">;
 }
 
-/** An upstream that ended connections a moment ago, and the calls that it had. */
-interface BrokenUpstream {
+/** An upstream that recently ended connections, and the calls that it was running on them. */
+interface SuspectUpstream {
     readonly upstream: UpstreamId;
     readonly incarnation: number;
     readonly address: Address;
@@ -45,35 +45,36 @@
 }
 
 /**
- * An entry's part in keeping requests that crash upstreams away from further ones: finds out whether an upstream that broke calls off has crashed,
- * tells the control log which requests it was running, and obeys what the log has quarantined.
+ * Detects crashes of upstreams and applies quarantine on an entry: probes an upstream that ended connections, reports to the control log which
+ * requests a crashed upstream was running, and holds back the requests that the log has quarantined.
  *
- * Guards against connections that end for another reason: an upstream has crashed only if nobody listens at its address any more.
+ * Connections also end for other reasons, so an upstream counts as crashed only if nothing listens at its address any more.
  *
  * @example
- * const watch = new CrashWatch(options);
- * lifecycle.run(signal => watch.run(signal), logError);
+ * const monitor = new CrashMonitor(options);
+ * lifecycle.run(signal => monitor.run(signal), logError);
  */
-export class CrashWatch extends CrashGuard {
+export class CrashMonitor extends CrashGuard {
     private readonly served: ServedRequests;
-    private readonly broken = new Map<string, BrokenUpstream>();
+    private readonly suspects = new Map<string, SuspectUpstream>();
     private unreported: UpstreamCrash[] = [];
-    /** What is not reported yet holds here at least: an entry that is cut off must not crash one upstream after the other. */
-    private readonly local = new QuarantineTable();
+    /** Quarantine from crashes not yet reported. Without it, an entry that is cut off would crash one upstream after another. */
+    private readonly localQuarantine = new QuarantineTable();
     private localIndex = 0;
-    /** The revision that the last report led to. */
-    private reportedAt = 0;
-    private readonly reportable = new Gate();
-    private known: ReadonlySet<RequestFingerprint> = new Set();
+    /** Revision at which the last report was applied. */
+    private reportedRevision = 0;
+    private readonly reportPending = new Gate();
+    /** Quarantined requests at the last view change, to log only differences. */
+    private loggedQuarantine: ReadonlySet<RequestFingerprint> = new Set();
 
-    constructor(private readonly options: CrashWatchOptions) {
+    constructor(private readonly options: CrashMonitorOptions) {
         super();
         this.served = new ServedRequests(options.clock);
     }
 
     quarantineLeftMs(fingerprint: RequestFingerprint): number | undefined {
         const { cache, time } = this.options;
-        const { until = 0 } = cache.quarantined.get(fingerprint) ?? this.local.find(fingerprint) ?? {};
+        const { until = 0 } = cache.quarantined.get(fingerprint) ?? this.localQuarantine.find(fingerprint) ?? {};
         if (until === 0) return undefined;
         const leftMs = until - time.now();
         return leftMs > 0 ? leftMs : undefined;
@@ -90,78 +91,78 @@
         if (!announcement || isExpectedToEnd) return;
         const { incarnation } = announcement;
         const name = `${upstream}/${incarnation}`;
-        const broken = this.broken.get(name);
-        if (broken && broken.fingerprints.size < MOST_CALLS) broken.fingerprints.add(fingerprint);
-        if (broken) return;
-        this.broken.set(name, { upstream, incarnation, address, fingerprints: new Set([fingerprint]) });
+        const suspect = this.suspects.get(name);
+        if (suspect && suspect.fingerprints.size < MAX_CALLS_PER_UPSTREAM) suspect.fingerprints.add(fingerprint);
+        if (suspect) return;
+        this.suspects.set(name, { upstream, incarnation, address, fingerprints: new Set([fingerprint]) });
         void this.investigate(name);
     }
 
-    /** Told that the view has changed. */
+    /** Called when the view has changed. */
     viewChanged(): void {
         const { cache, logger, metrics } = this.options;
         const { quarantined, revision } = cache;
         for (const { fingerprint, until, rounds, crashed } of quarantined.values()) {
-            if (this.known.has(fingerprint)) continue;
+            if (this.loggedQuarantine.has(fingerprint)) continue;
             logger.info("request-quarantined", { fingerprint, until, rounds, crashed: crashed.join(" "), revision });
         }
-        for (const fingerprint of this.known) {
+        for (const fingerprint of this.loggedQuarantine) {
             if (!quarantined.has(fingerprint)) logger.info("request-released", { fingerprint, revision });
         }
-        this.known = new Set(quarantined.keys());
-        metrics.gauge("requests_quarantined", this.known.size);
-        this.forgetReported();
+        this.loggedQuarantine = new Set(quarantined.keys());
+        metrics.gauge("requests_quarantined", this.loggedQuarantine.size);
+        this.clearLocalQuarantine();
     }
 
     /** Reports crashes until the signal is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         const { clock } = this.options;
         while (!signal.aborted) {
-            if (this.unreported.length === 0) await this.reportable.wait(clock, REPORT_MS, signal);
-            else if (!await this.report()) await clock.sleep(REPORT_PAUSE_MS, signal);
+            if (this.unreported.length === 0) await this.reportPending.wait(clock, REPORT_TIMEOUT_MS, signal);
+            else if (!await this.report()) await clock.sleep(REPORT_RETRY_DELAY_MS, signal);
         }
     }
 
     private async investigate(name: string): Promise<void> {
         const { clock, network, logger, metrics } = this.options;
-        await clock.sleep(LOOK_AFTER_MS);
-        const broken = this.broken.get(name)!;
-        const finding = await probeUpstream(network, broken.address);
-        this.broken.delete(name);
-        const { upstream, incarnation } = broken;
-        const fingerprints = [...broken.fingerprints];
+        await clock.sleep(PROBE_DELAY_MS);
+        const suspect = this.suspects.get(name)!;
+        const finding = await probeUpstream(network, suspect.address);
+        this.suspects.delete(name);
+        const { upstream, incarnation } = suspect;
+        const fingerprints = [...suspect.fingerprints];
         metrics.count("upstreams_probed", 1, { finding });
         logger.info("upstream-probed", { upstream, incarnation, finding, fingerprints: fingerprints.join(" ") });
-        if (finding === "crashed") this.keep({ upstream, incarnation, fingerprints });
+        if (finding === "crashed") this.queueReport({ upstream, incarnation, fingerprints });
     }
 
-    private keep(crash: UpstreamCrash): void {
+    private queueReport(crash: UpstreamCrash): void {
         this.unreported.push(crash);
-        if (this.unreported.length > MOST_CRASHES) {
+        if (this.unreported.length > MAX_UNREPORTED_CRASHES) {
             const { upstream } = this.unreported.shift()!;
             this.options.logger.warn("crash-report-dropped", { upstream });
         }
         const context = { index: ++this.localIndex as LogIndex, proposedAt: this.options.time.now() };
-        this.local.apply({ kind: "crash.note", crashes: [crash] }, context);
-        this.reportable.open();
+        this.localQuarantine.apply({ kind: "crash.note", crashes: [crash] }, context);
+        this.reportPending.open();
     }
 
-    /** @returns Whether the control log has all that there was to report. */
+    /** @returns Whether the control log has accepted all crashes queued at the time of the call. */
     private async report(): Promise<boolean> {
         const { client, logger } = this.options;
         const crashes = this.unreported;
-        const noted = await client.command({ kind: "crash.note", crashes }, REPORT_MS);
-        noted.ifLeft(err => logger.warn("crashes-not-reported", { crashes: crashes.length, problem: err.message }));
-        if (noted.isLeft()) return false;
+        const result = await client.command({ kind: "crash.note", crashes }, REPORT_TIMEOUT_MS);
+        result.ifLeft(err => logger.warn("crashes-not-reported", { crashes: crashes.length, problem: err.message }));
+        if (result.isLeft()) return false;
         this.unreported = this.unreported.filter(crash => !crashes.includes(crash));
-        this.reportedAt = (noted.extract() as QuarantineResult).revision;
-        this.forgetReported();
+        this.reportedRevision = (result.extract() as QuarantineResult).revision;
+        this.clearLocalQuarantine();
         return true;
     }
 
-    /** Once all is reported and the view has what the log made of it, the view alone counts. */
-    private forgetReported(): void {
+    /** Clears the local quarantine once all crashes are reported and the view includes the resulting revision. */
+    private clearLocalQuarantine(): void {
         const { revision } = this.options.cache;
-        if (this.unreported.length === 0 && revision >= this.reportedAt) this.local.restore(undefined);
+        if (this.unreported.length === 0 && revision >= this.reportedRevision) this.localQuarantine.restore(undefined);
     }
 }
--- a/src/entry/crashingRequests/test.ts
+++ b/src/entry/crashingRequests/test.ts
@@ -13,14 +13,14 @@
 const UPSTREAM = { slots: 24, workMs: 60, crashesOn: CRASHING, restartMs: 3_000 };
 const ROUTE = { kind: "once", attempts: 1, timeoutMs: 4_000, targetMs: 600 };
 const PARTS = { routes: [makeRoute(ROUTE)] };
-/** How many upstreams a request may crash before it is held back. */
-const MOST_CRASHES = 3;
-/** How long after that it may still reach one, in milliseconds: what is under way, and what hosts have yet to hear. */
-const KNOWN_AFTER_MS = 1_000;
-/** How long after its start an entry uses its share of the fleet's retries, in milliseconds. */
-const UNTIL_RETRIES_MS = 10_500;
-
-describe("a request that crashes each upstream that runs it", () => {
+/** Number of upstreams that a request may crash before it is quarantined. */
+const MAX_CRASHES = 3;
+/** Time after that in which it may still reach an upstream, in milliseconds: calls already sent, and hosts that have not received the quarantine. */
+const PROPAGATION_MS = 1_000;
+/** Time after its start from which an entry uses its share of the fleet's retry budget, in milliseconds. */
+const RETRY_WARM_UP_MS = 10_500;
+
+describe("a request that crashes every upstream that runs it", () => {
     const fleet = { running: undefined as RoutedFleet | undefined };
 
     async function startFleet(layout: Partial<RoutedLayout> = {}, route: DraftDocument = {}): Promise<RoutedFleet> {
@@ -31,7 +31,7 @@
         return started;
     }
 
-    /** Sends the request again and again, each time under another id and through another entry. */
+    /** Sends the request repeatedly, each time with a new id and through the next entry. */
     async function repeat(running: RoutedFleet, times: number, pauseMs: number): Promise<TestReply[]> {
         const replies: Promise<TestReply>[] = [];
         for (let time = 0; time < times; time++) {
@@ -49,24 +49,24 @@
         return running.upstreams.flatMap(({ runs }) => runs).filter(({ body }) => body === CRASHING).length;
     }
 
-    /** How often it reached an upstream after it had crashed as many as it may, and hosts had had the time to hear of it. */
-    function countLate(running: RoutedFleet): number {
-        const third = listCrashes(running)[MOST_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
+    /** Counts how often the request reached an upstream later than `PROPAGATION_MS` after the last permitted crash. */
+    function countLateSends(running: RoutedFleet): number {
+        const limitReachedAt = listCrashes(running)[MAX_CRASHES - 1] ?? Number.POSITIVE_INFINITY;
         const sends = running.upstreams.flatMap(({ runs }) => runs).filter(({ body }) => body === CRASHING);
-        return sends.filter(({ at }) => at > third + KNOWN_AFTER_MS).length;
+        return sends.filter(({ at }) => at > limitReachedAt + PROPAGATION_MS).length;
     }
 
     afterEach(() => fleet.running?.close());
 
-    it("reaches no upstream once it has crashed three, through whichever entry it comes again", async () => {
-        // Guards against retries that look new to us, since each has an id of its own, and end the pool's upstreams one by one.
+    it("reaches no upstream once it has crashed three, whichever entry receives it", async () => {
+        // A caller's retries have new ids and look like new requests, so they would crash the pool's upstreams one by one.
         const running = await startFleet();
         await repeat(running, 20, 700);
-        assert.ok(listCrashes(running).length >= MOST_CRASHES);
-        assert.equal(countLate(running), 0);
+        assert.ok(listCrashes(running).length >= MAX_CRASHES);
+        assert.equal(countLateSends(running), 0);
     });
 
-    it("is refused as not run, with a time to come back, at entries that never saw it", async () => {
+    it("is refused as not run, with a retry time, at entries that never received it", async () => {
         const running = await startFleet();
         await repeat(running, 6, 700);
         await running.run(running.startEntry(ENTRIES));
@@ -80,25 +80,25 @@
         assert.equal(countSends(running), sends);
     });
 
-    it("is refused for good where its kind may be sent again within one call", async () => {
-        // Guards against our own retries: each call of an idempotent route would crash two upstreams.
+    it("is refused permanently on a route whose calls are retried", async () => {
+        // The router's own retries count too: each call of an idempotent route would otherwise crash two upstreams.
         const running = await startFleet({}, { kind: "idempotent", attempts: 2 });
-        await running.pass(UNTIL_RETRIES_MS);
+        await running.pass(RETRY_WARM_UP_MS);
         await repeat(running, 12, 700);
-        assert.ok(listCrashes(running).length <= MOST_CRASHES + 1, `${listCrashes(running).length} crashes`);
-        assert.equal(countLate(running), 0);
+        assert.ok(listCrashes(running).length <= MAX_CRASHES + 1, `${listCrashes(running).length} crashes`);
+        assert.equal(countLateSends(running), 0);
     });
 
-    it("gets 502, and no word that it has not run, where it is quarantined between two attempts", async () => {
+    it("gets 502 without a not-run header where it is quarantined between two attempts", async () => {
         const running = await startFleet({}, { kind: "idempotent", attempts: 5 });
-        await running.pass(UNTIL_RETRIES_MS);
+        await running.pass(RETRY_WARM_UP_MS);
         const reply = await running.call({ entry: 0, path: PATH, key: KEY, body: CRASHING });
         assert.equal(reply.status, 502);
         assert.equal(findHeader(reply.headers, CALL_HEADERS.notRun), undefined);
-        assert.equal(listCrashes(running).length, MOST_CRASHES + 1);
+        assert.equal(listCrashes(running).length, MAX_CRASHES + 1);
     });
 
-    it("leaves requests alone that ran beside it, and others of its caller", async () => {
+    it("does not affect requests that ran concurrently, nor other requests of its caller", async () => {
         const running = await startFleet();
         const others: Promise<TestReply>[] = [];
         for (let time = 0; time < 20; time++) {
@@ -138,28 +138,28 @@
     });
 
     it("is counted as before where the holder is lost between its crashes", async () => {
-        // Guards against crashes that are remembered by one process alone.
+        // Otherwise crashes would be known only to one process.
         const running = await startFleet();
         await repeat(running, 2, 700);
         await running.killControl(running.holder());
         await running.pass(3_000);
         await repeat(running, 10, 700);
-        assert.equal(countLate(running), 0);
-        assert.ok(listCrashes(running).length <= MOST_CRASHES + 1, `${listCrashes(running).length} crashes`);
+        assert.equal(countLateSends(running), 0);
+        assert.ok(listCrashes(running).length <= MAX_CRASHES + 1, `${listCrashes(running).length} crashes`);
     });
 
-    it("crashes no more at an entry that can't reach control, on a route without keys", async () => {
-        // Guards against a report that waits for control while its entry goes on sending.
+    it("causes no more crashes at an entry that can't reach control, on a route without keys", async () => {
+        // Otherwise the entry would continue to send the request while its crash report waits for control.
         const running = await startFleet({}, { keyless: true });
         for (let number = 0; number < 5; number++) await running.killControl(number);
         for (let time = 0; time < 8; time++) {
             await running.call({ entry: 0, path: PATH, body: CRASHING });
             await running.pass(100);
         }
-        assert.equal(listCrashes(running).length, MOST_CRASHES);
+        assert.equal(listCrashes(running).length, MAX_CRASHES);
     });
 
-    it("runs again once an operator has lifted it", async () => {
+    it("runs again once an operator has lifted the quarantine", async () => {
         const running = await startFleet();
         await repeat(running, 6, 700);
         const { quarantine } = running.controls[0]!.routing!;
@@ -174,7 +174,7 @@
 
 describe("a request whose connections end", () => {
     it("is not quarantined while the upstreams that end them go on listening", async () => {
-        // Guards against faults of connections and answers that pass for crashes.
+        // Otherwise connection faults and lost answers would count as crashes.
         const upstreams = Array.from({ length: UPSTREAMS }, () => ({ slots: 24, workMs: 20 }));
         const running = new RoutedFleet({ entries: ENTRIES, upstreams, queueHosts: true });
         await running.start(makeDocument(PARTS));
@@ -189,8 +189,8 @@
         await running.close();
     });
 
-    it("is not quarantined where it was served a moment before, though it ran on three upstreams that crashed", async () => {
-        // Guards against a popular request that is there whenever upstreams crash.
+    it("is not quarantined where it was served recently, though it ran on three upstreams that crashed", async () => {
+        // Otherwise a popular request would be quarantined, since it is running whenever upstreams crash.
         const upstreams = Array.from({ length: 4 }, () => ({ slots: 24, workMs: 400, restartMs: 500 }));
         const running = new RoutedFleet({ entries: ENTRIES, upstreams, queueHosts: true });
         await running.start(makeDocument(PARTS));
--- a/src/entry/demandReporter/index.ts
+++ b/src/entry/demandReporter/index.ts
@@ -5,12 +5,12 @@
 import { Upstream, UpstreamRegistry } from "../../upstream/index.js";
 import { FleetDispatcher } from "../fleetDispatcher/index.js";
 
-/** How often demand is reported, in milliseconds. */
-const REPORT_EVERY_MS = 2_000;
-/** How long upstreams have to make themselves known to an entry that has come to own their pool, in milliseconds. */
-const SETTLE_MS = 4_000;
+/** Interval between demand reports, in milliseconds. */
+const REPORT_INTERVAL_MS = 2_000;
+/** Time for which an entry must own a pool before it reports it, in milliseconds; the upstreams announce themselves meanwhile. */
+const OWNERSHIP_SETTLE_MS = 4_000;
 
-/** What a reporter is made of. */
+/** Options of `DemandReporter`. */
 export interface DemandReporterOptions {
     readonly clock: Clock;
     readonly self: HostId;
@@ -24,12 +24,12 @@
 /**
  * Reports demand and upstreams to the holder, for the pools whose queue this entry owns.
  *
- * Guards against upstreams bought twice after the queue's owner has changed: the new one, perhaps an entry that has just started,
- * may own the queue before it has heard of all the pool's upstreams. So its first report of a pool comes when each of them has
- * had the time to announce itself several times.
+ * Prevents upstreams from being bought twice after the queue's owner has changed: the new owner, perhaps an entry that has just
+ * started, may not yet know all of the pool's upstreams. It therefore reports a pool only after each upstream has had time to
+ * announce itself several times.
  */
 export class DemandReporter {
-    /** Monotonic times, in milliseconds. */
+    /** Monotonic time at which this entry came to own each pool's queue, in milliseconds. */
     private readonly ownedSince = new Map<PoolId, number>();
 
     constructor(private readonly options: DemandReporterOptions) {}
@@ -40,21 +40,21 @@
         while (!signal.aborted) {
             const pools = this.describePools();
             if (pools.length > 0) await client.reportDemand({ region, pools });
-            await clock.sleepToTick(REPORT_EVERY_MS, signal);
+            await clock.sleepToTick(REPORT_INTERVAL_MS, signal);
         }
     }
 
     private describePools(): PoolReport[] {
         const { registry, clock } = this.options;
-        // While all queues are idle nothing else looks for silent upstreams.
+        // While all queues are idle, nothing else expires upstreams that have stopped announcing themselves.
         registry.expire();
-        this.noteOwnership();
-        const oldEnough = clock.monotonic() - SETTLE_MS;
+        this.updateOwnership();
+        const oldEnough = clock.monotonic() - OWNERSHIP_SETTLE_MS;
         const settled = [...this.ownedSince].filter(([, since]) => since <= oldEnough);
         return settled.map(([pool]) => this.describePool(pool));
     }
 
-    private noteOwnership(): void {
+    private updateOwnership(): void {
         const { registry, local, dispatcher, self, clock } = this.options;
         const pools = new Set<PoolId>([...registry.pools(), ...local.pools()]);
         const owned = new Set([...pools].filter(pool => dispatcher.ownerOf(pool) === self));
--- a/src/entry/demandReporter/test.ts
+++ b/src/entry/demandReporter/test.ts
@@ -9,7 +9,7 @@
 
 const SELF = "entry-1" as HostId;
 
-class Bench {
+class Harness {
     readonly clock = new VirtualClock();
     readonly registry = new UpstreamRegistry({ clock: this.clock });
     readonly reports: DemandReport[] = [];
@@ -39,7 +39,7 @@
 
 describe("DemandReporter", () => {
     it("reports a pool that it owns with its upstreams", async () => {
-        const bench = new Bench();
+        const bench = new Harness();
         await bench.clock.advance(9_000);
         bench.close();
         assert.ok(bench.reports.length >= 2);
@@ -48,18 +48,17 @@
     });
 
     it("reports nothing of pools that others own", async () => {
-        const bench = new Bench();
+        const bench = new Harness();
         bench.owner = "entry-2" as HostId;
         await bench.clock.advance(9_000);
         bench.close();
         assert.deepEqual(bench.reports, []);
     });
 
-    // All upstreams of a pool are bought a second time.
-    // The owner of the queue and the next one are lost together; the third knows few of the upstreams yet.
-    // Cause: a report of what has been heard so far, taken for all there is.
-    it("waits until upstreams have had the time to make themselves known to a new owner", async () => {
-        const bench = new Bench();
+    // Failure: all upstreams of a pool are bought a second time. The owner of the queue and its successor are lost together, and
+    // the third host, which knows few of the upstreams yet, reports these as if they were all.
+    it("waits until upstreams have had time to announce themselves to a new owner", async () => {
+        const bench = new Harness();
         bench.owner = "entry-2" as HostId;
         await bench.clock.advance(9_000);
         bench.owner = SELF;
--- a/src/entry/engineStream/index.ts
+++ b/src/entry/engineStream/index.ts
@@ -2,13 +2,14 @@
 import { Clock, HttpError, HttpReply } from "../../ports/index.js";
 import { EngineChunk, EngineUsage, STREAM_DONE } from "../../protocol/index.js";
 
-/** An engine's answer that can't be used, or not any more. */
+/** An engine's answer that failed before or during the stream. */
 export class EngineStreamError extends Error {
     /**
-     * @param reason - `crossed`: it belongs to another request. `gap`: tokens are missing. `truncated`: it ended without its
-     * terminal event. `refused`: the engine answered with an error status. `rejected`: it finds the request itself wrong, as
-     * any other engine would.
-     * @param connectionEnded - The engine closed or reset the connection while it had the request.
+     * @param reason - `unreachable`: the request could not be sent or got no response. `refused`: the engine answered with an
+     * error status. `rejected`: the engine considers the request itself invalid, as any other engine would. `crossed`: an event
+     * belongs to another request. `gap`: tokens are missing. `truncated`: the stream ended without its terminal event.
+     * `malformed`: an event could not be parsed, or the usage is missing. `stopped`: this host aborted the request.
+     * @param connectionEnded - Whether the engine closed or reset the connection while it was handling the request.
      */
     constructor(
         readonly reason:
@@ -27,39 +28,39 @@
     }
 }
 
-/** Some tokens of an answer. */
+/** Consecutive tokens of an answer and their text. */
 export interface EngineTokens {
     readonly text: string;
     readonly tokens: number;
 }
 
-/** How an answer ended. */
-export interface EngineEnd {
+/** Finish reason and usage of a complete answer. */
+export interface EngineStreamEnd {
     readonly finishReason: "stop" | "length" | "cancelled";
     readonly usage: EngineUsage;
 }
 
-/** Takes tokens as they come; settles when more can be taken. */
+/** Receives tokens as they arrive; settles when it can accept more. */
 export type TokenSink = (tokens: EngineTokens) => Promise<void> | void;
 
-/** How long the body's end may take after the terminal event, in milliseconds. */
-const BODY_END_MS = 1_000;
-const EVENT_END = "\n\n";
+/** Maximum time from the terminal event to the end of the body, in milliseconds. */
+const BODY_END_TIMEOUT_MS = 1_000;
+const EVENT_SEPARATOR = "\n\n";
 const DATA_PREFIX = "data:";
 
 /**
- * Reads an engine's answer to its terminal event.
+ * Reads an engine's answer up to its terminal event.
  *
- * Guards against answers that are not the whole answer to this request: an event with another request's id (a connection
- * whose last answer was not read to its end), a jump in the offsets (lost events), and an end without `[DONE]` (an engine that
- * died, or something between that closed the connection in good order). Tokens that were delivered before a resume are
- * left out, so that the caller gets each one once.
+ * Rejects anything but the whole answer to this request: an event with another request's id (a connection whose previous
+ * answer was not read to its end), a jump in the offsets (lost events), and an end without `[DONE]` (an engine that crashed, or
+ * an intermediary that closed the connection cleanly). Tokens delivered before a resume are skipped, so that the caller
+ * receives each token once.
  *
- * @param reply - The engine's reply, its body not yet read.
- * @param request - The id that each event must carry.
- * @param offset - The number of the first token wanted.
- * @param sink - Gets the tokens in order.
- * @param clock - Bounds the wait for the end behind the terminal event.
+ * @param reply - The engine's reply, with its body unread.
+ * @param request - Request id that each event must carry.
+ * @param offset - Index of the first token to deliver.
+ * @param sink - Receives the tokens in order.
+ * @param clock - Bounds the wait for the end of the body after the terminal event.
  * @example
  * const end = await readEngineStream(reply, id, 0, ({ text }) => caller.write(text), clock);
  */
@@ -69,7 +70,7 @@
     offset: number,
     sink: TokenSink,
     clock: Clock,
-): Promise<Either<EngineStreamError, EngineEnd>> {
+): Promise<Either<EngineStreamError, EngineStreamEnd>> {
     const reader = new EventReader(request, offset, sink);
     const decoder = new TextDecoder();
     const body = reply.body[Symbol.asyncIterator]();
@@ -77,17 +78,17 @@
     try {
         for (let part = await body.next(); !part.done; part = await body.next()) {
             buffered += decoder.decode(part.value, { stream: true });
-            let end = buffered.indexOf(EVENT_END);
+            let end = buffered.indexOf(EVENT_SEPARATOR);
             let start = 0;
             while (end >= 0) {
-                const problem = await reader.take(buffered.slice(start, end));
+                const problem = await reader.handleEvent(buffered.slice(start, end));
                 if (problem) return Left(problem);
                 if (reader.end) {
-                    void readToEnd(reply, body, clock);
+                    void drainBody(reply, body, clock);
                     return Right(reader.end);
                 }
-                start = end + EVENT_END.length;
-                end = buffered.indexOf(EVENT_END, start);
+                start = end + EVENT_SEPARATOR.length;
+                end = buffered.indexOf(EVENT_SEPARATOR, start);
             }
             if (start > 0) buffered = buffered.slice(start);
         }
@@ -101,64 +102,65 @@
 }
 
 /**
- * Reads what is left behind the terminal event, which is nothing but the body's end: a connection that was not read to it can't
- * be used again, and each request would open its own. One that does not end, or says more, is reset.
+ * Reads the end of the body after the terminal event. A connection that is not read to the end of its body cannot be reused, and
+ * each request would open a new one. A body that does not end in time, or continues, is reset.
  */
-async function readToEnd(reply: HttpReply, body: AsyncIterator<Uint8Array>, clock: Clock): Promise<void> {
-    const limit = clock.after(BODY_END_MS, () => reply.reset());
+async function drainBody(reply: HttpReply, body: AsyncIterator<Uint8Array>, clock: Clock): Promise<void> {
+    const limit = clock.after(BODY_END_TIMEOUT_MS, () => reply.reset());
     try {
         const rest = await body.next();
         if (!rest.done) reply.reset();
     }
     catch {
-        // The answer is whole; the connection is gone.
+        // The answer is complete; only the connection is lost.
     }
     limit.cancel();
 }
 
+/** Parses events in order and passes their tokens to the sink. */
 class EventReader {
-    end: EngineEnd | undefined;
-    private last: EngineEnd | undefined;
+    end: EngineStreamEnd | undefined;
+    private last: EngineStreamEnd | undefined;
 
     constructor(
         private readonly request: string,
-        private expected: number,
+        private nextOffset: number,
         private readonly sink: TokenSink,
     ) {}
 
-    /** Takes one event; gives what is wrong with it, if anything. */
-    async take(event: string): Promise<EngineStreamError | undefined> {
+    /** Processes one event; returns an error if the event is invalid. */
+    async handleEvent(event: string): Promise<EngineStreamError | undefined> {
         if (!event.startsWith(DATA_PREFIX)) return undefined;
         const data = event.slice(DATA_PREFIX.length).trim();
-        if (data === STREAM_DONE) return this.takeDone();
+        if (data === STREAM_DONE) return this.handleDone();
         const chunk = parseChunk(data);
         if (!chunk) return new EngineStreamError("malformed", data.slice(0, 80));
         if (chunk.id !== this.request) return new EngineStreamError("crossed", `an event of ${chunk.id}`);
-        const problem = await this.takeTokens(chunk);
+        const problem = await this.handleTokens(chunk);
         const choice = chunk.choices[0];
         if (choice.finish_reason && chunk.usage) this.last = { finishReason: choice.finish_reason, usage: chunk.usage };
         return problem;
     }
 
-    private takeDone(): EngineStreamError | undefined {
+    private handleDone(): EngineStreamError | undefined {
         if (!this.last) return new EngineStreamError("malformed", "the end came without usage");
         this.end = this.last;
         return undefined;
     }
 
-    private async takeTokens(chunk: EngineChunk): Promise<EngineStreamError | undefined> {
-        if (chunk.tokens === 0 || chunk.offset + chunk.tokens <= this.expected) return undefined;
-        if (chunk.offset !== this.expected) {
-            return new EngineStreamError("gap", `token ${chunk.offset} where ${this.expected} was due`);
+    private async handleTokens(chunk: EngineChunk): Promise<EngineStreamError | undefined> {
+        if (chunk.tokens === 0 || chunk.offset + chunk.tokens <= this.nextOffset) return undefined;
+        if (chunk.offset !== this.nextOffset) {
+            return new EngineStreamError("gap", `token ${chunk.offset} where ${this.nextOffset} was due`);
         }
-        this.expected += chunk.tokens;
+        this.nextOffset += chunk.tokens;
         const wait = this.sink({ text: chunk.choices[0].delta.content ?? "", tokens: chunk.tokens });
         if (wait) await wait;
         return undefined;
     }
 }
 
-/** Checks by hand what is read of an event: a schema check for each token would cost as much as all else. */
+/** Checks only the fields in use, by hand: schema validation of each token would cost as much as all other work on it. */
 function parseChunk(data: string): EngineChunk | undefined {
     try {
         const chunk = JSON.parse(data) as EngineChunk;
--- a/src/entry/engineStream/test.ts
+++ b/src/entry/engineStream/test.ts
@@ -41,61 +41,58 @@
 }
 
 describe("readEngineStream", () => {
-    it("gives the tokens in order, however the bytes are cut", async () => {
+    it("delivers the tokens in order, wherever the bytes are split", async () => {
         const whole = token(0) + token(1) + token(2) + end() + DONE;
         const letters = [...whole];
         assert.deepEqual(await read(replyOf(...letters)), { text: "t0 t1 t2 ", result: "stop" });
     });
 
     describe("after a resume", () => {
-        it("leaves out tokens that were delivered before", async () => {
-            // A caller sees some words twice after a pause.
-            // The engine that continues the answer ignores the offset and begins with the first token.
-            // Cause: what an engine sends is taken as if it followed what came before.
+        it("skips tokens that were delivered before", async () => {
+            // Failure: a caller receives some words twice after a pause, because the engine that continues the answer ignores the
+            // offset, starts with the first token, and its tokens are taken as the continuation.
             const reply = replyOf(token(0), token(1), token(2), end(), DONE);
             assert.deepEqual(await read(reply, 2), { text: "t2 ", result: "stop" });
         });
 
         it("refuses an answer in which tokens are missing", async () => {
-            // A caller's answer lacks some words and looks whole.
-            // Events between two others were lost, or the engine continued too far on.
-            // Cause: only the events' offsets tell that they do not follow each other.
+            // Failure: a caller's answer lacks some words and looks complete, because events were lost or the engine resumed too
+            // far ahead. Only the offsets show that two events are not consecutive.
             const reply = replyOf(token(0), token(2), end(), DONE);
             assert.deepEqual(await read(reply), { text: "t0 ", result: "gap" });
         });
     });
 
-    describe("an answer that is not whole", () => {
-        it("is told by the missing terminal event", async () => {
+    describe("an incomplete answer", () => {
+        it("is detected by the missing terminal event", async () => {
             assert.equal((await read(replyOf(token(0), token(1)))).result, "truncated");
         });
 
-        it("is told by a terminal event without usage", async () => {
+        it("is detected by a terminal event without usage", async () => {
             assert.equal((await read(replyOf(token(0), DONE))).result, "malformed");
         });
 
-        it("is told by a connection that breaks", async () => {
+        it("is detected by a connection that breaks", async () => {
             assert.equal((await read(replyOf(token(0), new HttpError("closed", true, "")))).result, "truncated");
         });
 
-        it("is told apart from one that was stopped here", async () => {
+        it("is distinguished from an answer that this host aborted", async () => {
             assert.equal((await read(replyOf(token(0), new HttpError("aborted", true, "")))).result, "stopped");
         });
 
-        it("is told by what is no JSON", async () => {
+        it("is detected by an event that is not JSON", async () => {
             assert.equal((await read(replyOf("data: {\"id\":\n\n"))).result, "malformed");
         });
     });
 
-    it("takes no event of another request", async () => {
+    it("rejects an event of another request", async () => {
         const other = token(0).replace(REQUEST, "request-2");
         assert.deepEqual(await read(replyOf(other, end(), DONE)), { text: "", result: "crossed" });
     });
 
     it("reads the body to its end, so that its connection can be used again", async () => {
-        // First tokens come late, and the hosts are full of connections that wait for their end.
-        // The reader stopped at the terminal event, and the client closed a connection that was not read to its end.
-        // Cause: leaving a loop over a body early means giving it up.
+        // Failure: first tokens are late, and hosts accumulate connections in TIME_WAIT. The reader stopped at the terminal event, and
+        // the HTTP client closes a connection whose body was not read to its end.
         let isReadToEnd = false;
         async function* body(): AsyncIterable<Uint8Array> {
             yield Buffer.from(token(0) + end() + DONE);
--- a/src/entry/entryContext/index.ts
+++ b/src/entry/entryContext/index.ts
@@ -5,32 +5,32 @@
 import { CrashGuard } from "../../quarantine/index.js";
 import { RequestRegistry } from "../../request/index.js";
 import { ControlAccess } from "../controlAccess/index.js";
-import { SpendGate } from "../spendGate/index.js";
+import { SpendLimiter } from "../spendLimiter/index.js";
 import { UsageMeter } from "../usageMeter/index.js";
 
-/** Bounds on what an entry takes in and waits for. */
+/** Size limits, timeouts and attempt limits of an entry process. */
 export interface EntryLimits {
-    /** The largest body of a request or of a service's answer, in bytes. */
+    /** Maximum size of a request's body or of a service's answer, in bytes. */
     readonly bodyBytes: number;
-    /** How many requests may be under way at once. */
+    /** Maximum number of concurrent requests. */
     readonly requests: number;
-    /** The most tokens of an answer whose request names none. */
+    /** Maximum number of answer tokens of a request that sets no `max_tokens`. */
     readonly defaultMaxTokens: number;
-    /** How long to wait for a connection to an upstream, in milliseconds. */
+    /** Timeout for connecting to an upstream, in milliseconds. */
     readonly connectMs: number;
-    /** How long an engine may take to its first token once the request has left, in milliseconds. */
+    /** Maximum time from sending a request to the engine's first token, in milliseconds. */
     readonly firstTokenStallMs: number;
-    /** How long an engine may pause between tokens, in milliseconds. */
+    /** Maximum time between two tokens from an engine, in milliseconds. */
     readonly tokenStallMs: number;
-    /** How long a service may take to answer, in milliseconds. */
+    /** Timeout for a service's answer, in milliseconds. */
     readonly serviceMs: number;
-    /** How often a request may be sent to an upstream. */
+    /** Maximum number of attempts per request, the first included. */
     readonly attempts: number;
-    /** How long to wait for the control log to take a record, in milliseconds. */
+    /** Timeout for committing a call record to the control log, in milliseconds. */
     readonly commandMs: number;
 }
 
-/** The limits used where settings give none. */
+/** Limits for which the settings have no value. */
 export const DEFAULT_ENTRY_LIMITS: EntryLimits = {
     bodyBytes: 4 * 1024 * 1024,
     requests: 4_000,
@@ -43,7 +43,7 @@
     commandMs: 3_000,
 };
 
-/** What the tasks that answer callers work with. */
+/** Dependencies shared by the functions that serve callers. */
 export interface EntryContext {
     readonly clock: Clock;
     readonly random: Random;
@@ -52,15 +52,16 @@
     readonly dispatcher: Dispatcher;
     readonly requests: RequestRegistry;
     readonly meter: UsageMeter;
-    readonly spendGate: SpendGate;
-    /** Attempts beyond the first. */
-    readonly retries: AttemptBudget;
-    readonly crashes: CrashGuard;
+    readonly spendLimiter: SpendLimiter;
+    /** Budget for attempts beyond the first. */
+    readonly retryBudget: AttemptBudget;
+    /** Quarantine of requests that crash upstreams. */
+    readonly crashGuard: CrashGuard;
     readonly metrics: Metrics;
     readonly logger: Logger;
     readonly limits: EntryLimits;
-    /** True once a planned stop has begun: the balancer should send no more callers. */
+    /** Whether a planned stop has begun: readiness fails, so that the load balancer sends no more callers. */
     readonly isDraining: () => boolean;
-    /** True once the balancer has had time to notice: new requests are refused. */
+    /** Whether new requests are refused: the load balancer has had time to notice the planned stop. */
     readonly isRefusing: () => boolean;
 }
--- a/src/entry/entryProcess/index.ts
+++ b/src/entry/entryProcess/index.ts
@@ -25,26 +25,26 @@
 import { TrueTime } from "../../time/index.js";
 import { RegistryTiming, UpstreamRegistry } from "../../upstream/index.js";
 import { PeerIdentity, PeerRouter, PeerTiming, reportTraffic, servePeers } from "../../wire/index.js";
-import { AnnouncementSpreader } from "../announcementSpreader/index.js";
-import { CacheSurvey } from "../cacheSurvey/index.js";
-import { CrashWatch } from "../crashWatch/index.js";
+import { AnnouncementForwarder } from "../announcementForwarder/index.js";
+import { BackupBatchStore } from "../backupBatchStore/index.js";
+import { CacheDiscovery } from "../cacheDiscovery/index.js";
+import { CrashMonitor } from "../crashMonitor/index.js";
 import { DemandReporter } from "../demandReporter/index.js";
 import { EntryContext, EntryLimits } from "../entryContext/index.js";
-import { EvacuationWatch } from "../evacuationWatch/index.js";
+import { EvacuationMonitor } from "../evacuationMonitor/index.js";
 import { FleetControl } from "../fleetControl/index.js";
 import { FleetDispatcher } from "../fleetDispatcher/index.js";
-import { PeerBatchHolder } from "../peerBatchHolder/index.js";
+import { PeerBatchBackup } from "../peerBatchBackup/index.js";
 import { PeerDirectory } from "../peerDirectory/index.js";
 import { RouteService, RouteServiceSettings } from "../routeService/index.js";
 import { SendAllowance } from "../sendAllowance/index.js";
 import { serveAnnouncements } from "../serveAnnouncements/index.js";
 import { serveCallers } from "../serveCallers/index.js";
-import { SpendGate } from "../spendGate/index.js";
+import { SpendLimiter } from "../spendLimiter/index.js";
 import { TicketServer } from "../ticketServer/index.js";
-import { UsageKeeper } from "../usageKeeper/index.js";
 import { UsageMeter } from "../usageMeter/index.js";
 
-/** What an entry process is made of. */
+/** Options of `EntryProcess`. */
 export interface EntryOptions {
     readonly clock: Clock;
     readonly random: Random;
@@ -55,27 +55,29 @@
     readonly self: PeerIdentity;
     readonly zone: ZoneId;
     readonly region: string;
-    /** Where chats and service calls are served; undefined: nowhere. */
+    /** Address at which chats and service calls are served; undefined: not served. */
     readonly callers?: Address;
-    /** Where upstreams announce themselves; undefined: to control processes only. */
+    /** Address at which upstreams announce themselves; undefined: they announce themselves to control processes only. */
     readonly upstreams?: Address;
+    /** Address at which peers reach this process. */
     readonly peers: Address;
-    /** Where operators reach this process. */
+    /** Address of the admin API. */
     readonly admin?: Address;
-    /** This process is there to own the queues of pools, and serves no callers. */
+    /** Whether this process only owns queues of pools and serves no callers. */
     readonly ownsQueues?: boolean;
-    /** Answers peers in this one's place, at the address that `peers` names; undefined: this process listens there. */
+    /** Router of the process that already listens at `peers` and also serves this one's queue methods; undefined: this process listens there. */
     readonly sharedRouter?: PeerRouter;
-    /** Control processes to begin with; the others are learned from them. */
+    /** Addresses of the initial control processes; the others are discovered through them. */
     readonly controlPeers: readonly Address[];
-    /** Undefined: calls are not routed by a fleet document. */
+    /** Settings of routing by the fleet document; undefined: calls are not routed by a fleet document. */
     readonly routes?: RouteServiceSettings;
     readonly registryTiming?: RegistryTiming;
     readonly callerLimits: HttpLimits;
     readonly limits: EntryLimits;
     readonly timing: PeerTiming;
+    /** Length of a usage window, in milliseconds. */
     readonly windowMs: number;
-    /** How long a stopping entry still takes new requests, until the balancer has noticed, in milliseconds. */
+    /** Time for which a draining entry still accepts new requests, until the load balancer has noticed, in milliseconds. */
     readonly balancerMs: number;
 }
 
@@ -83,7 +85,7 @@
 const BACKLOG_POLL_MS = 50;
 
 /**
- * An entry: takes callers' requests and upstreams' announcements, owns the queues of some pools, meters usage.
+ * An entry process: serves callers, receives upstreams' announcements, owns the queues of some pools, and meters usage.
  *
  * @example
  * const entry = await EntryProcess.start(options);
@@ -97,34 +99,34 @@
     readonly local: LocalDispatcher;
     readonly dispatcher: FleetDispatcher;
     readonly meter: UsageMeter;
-    /** Undefined where calls are not routed by a fleet document. */
+    /** Service for calls routed by the fleet document; undefined where the options have no `routes`. */
     readonly routes: RouteService | undefined;
     private readonly lifecycle = new Lifecycle();
     private readonly router = new PeerRouter();
     private readonly cache = new ViewCache();
-    private readonly allowance = new SendAllowance({
-        findSpec: pool => this.cache.routes?.findPool(pool)?.cold,
-        placeAmongOwners: pool => this.control.isFresh() ? this.dispatcher.placeAmongOwners(pool) : undefined,
+    private readonly sendAllowance = new SendAllowance({
+        findColdSpec: pool => this.cache.routes?.findPool(pool)?.cold,
+        ownerRank: pool => this.control.isFresh() ? this.dispatcher.ownerRank(pool) : undefined,
         countEntries: () => this.control.entries().filter(({ ownsQueues }) => !ownsQueues).length,
     });
-    private readonly links: ControlLinkSet;
+    private readonly controlLinks: ControlLinkSet;
     private readonly client: ControlClient;
     private readonly directory: PeerDirectory;
-    private readonly spreader: AnnouncementSpreader;
-    private readonly evacuations: EvacuationWatch;
-    private readonly crashes: CrashWatch;
-    private readonly time: TrueTime;
-    private announcedDrain = false;
-    private refusing = false;
+    private readonly announcementForwarder: AnnouncementForwarder;
+    private readonly evacuationMonitor: EvacuationMonitor;
+    private readonly crashMonitor: CrashMonitor;
+    private readonly trueTime: TrueTime;
+    private draining = false;
+    private refusingRequests = false;
     private callerListener: Listener | undefined;
 
     private constructor(private readonly options: EntryOptions) {
         const { clock, random, self, zone, region } = options;
-        this.links = new ControlLinkSet({
+        this.controlLinks = new ControlLinkSet({
             ...options,
             router: this.router,
             lifecycle: this.lifecycle,
-            onOpen: channel => this.routes?.follow(channel),
+            onOpen: channel => this.routes?.subscribeTo(channel),
         });
         this.client = this.makeClient();
         this.control = new FleetControl(this.client, this.cache);
@@ -132,7 +134,7 @@
             ...options,
             router: this.router,
             control: this.control,
-            controlLinks: this.links.list,
+            controlLinks: this.controlLinks.list,
             lifecycle: this.lifecycle,
         });
         const owners = new PoolOwnerTable(region);
@@ -144,8 +146,8 @@
             registry: this.registry,
             policies: options.routes && ROUTED_POLICIES,
             capacityOf: pool => this.cache.routes?.findPool(pool)?.engine?.kvTokens,
-            coldRateOf: pool => this.allowance.coldRateOf(pool),
-            limitShareOf: pool => this.allowance.limitShareOf(pool),
+            coldRateOf: pool => this.sendAllowance.coldRateOf(pool),
+            limitShareOf: pool => this.sendAllowance.limitShareOf(pool),
         });
         this.dispatcher = new FleetDispatcher({
             ...options,
@@ -158,32 +160,32 @@
         this.registry.onChange(({ id, state }) => {
             if (state === "gone") this.dispatcher.forgetUpstream(id);
         });
-        this.evacuations = new EvacuationWatch({
+        this.evacuationMonitor = new EvacuationMonitor({
             ...options,
             registry: this.registry,
             listRunning: () => this.dispatcher.listRunning(),
         });
-        this.time = new TrueTime(clock);
-        this.crashes = new CrashWatch({
+        this.trueTime = new TrueTime(clock);
+        this.crashMonitor = new CrashMonitor({
             ...options,
             registry: this.registry,
             client: this.client,
             cache: this.cache,
-            time: this.time,
+            time: this.trueTime,
         });
-        this.spreader = new AnnouncementSpreader(this.registry, this.directory, owners, self.host);
+        this.announcementForwarder = new AnnouncementForwarder(this.registry, this.directory, owners, self.host);
         this.meter = new UsageMeter({
             ...options,
-            holder: new PeerBatchHolder(this.directory, self),
+            backup: new PeerBatchBackup(this.directory, self),
             control: this.control,
         });
-        this.routes = options.routes && this.makeRoutes(options.routes);
+        this.routes = options.routes && this.makeRouteService(options.routes);
     }
 
     /**
-     * Starts an entry. Its callers' port opens only once it has a view read through the holder of the control lease.
+     * Starts an entry. The callers' port opens only after a view has been read through the holder of the control lease.
      *
-     * @throws NetworkError when an address is taken.
+     * @throws NetworkError when an address is already in use.
      */
     static async start(options: EntryOptions, signal?: AbortSignal): Promise<EntryProcess> {
         const entry = new EntryProcess(options);
@@ -197,28 +199,28 @@
         return entry;
     }
 
-    /** Where callers are served; undefined until there is a view. */
+    /** Address at which callers are served; undefined until there is a view. */
     get callerAddress(): Address | undefined {
         return this.callerListener?.address;
     }
 
     get isDraining(): boolean {
-        return this.announcedDrain;
+        return this.draining;
     }
 
     /**
-     * Prepares a planned stop: lets the balancer notice, hands the queues over, and lets all work under way end.
+     * Prepares a planned stop: waits for the load balancer to notice, hands the queues over, and waits for running work to end.
      *
-     * @param graceMs - The longest to wait, in milliseconds.
+     * @param graceMs - Maximum time to wait for running work, in milliseconds.
      * @returns Whether all work has ended.
      */
     async drain(graceMs: number): Promise<boolean> {
         const { clock, balancerMs, logger } = this.options;
-        this.announcedDrain = true;
+        this.draining = true;
         this.client.setDraining(true);
         logger.info("drain-started", { requests: this.requests.size });
         await clock.sleep(balancerMs);
-        this.refusing = true;
+        this.refusingRequests = true;
         this.local.drain();
         void this.routes?.stopAccepting();
         const limit = new AbortController();
@@ -231,7 +233,7 @@
         return this.requests.size === 0 && this.meter.backlog === 0;
     }
 
-    /** Ends everything at once. */
+    /** Stops everything immediately, without draining. */
     close(): Promise<void> {
         return this.lifecycle.close();
     }
@@ -240,13 +242,13 @@
         const { lifecycle, options } = this;
         const { logger } = options;
         const onError = (err: unknown): void => logger.error("task-failed", { problem: String((err as Error).stack) });
-        this.links.setSeeds(options.controlPeers);
-        const keeper = new UsageKeeper(options.clock, this.control);
-        keeper.addTo(this.router);
-        const served = options.sharedRouter ?? this.router;
-        this.spreader.addTo(served);
+        this.controlLinks.setSeeds(options.controlPeers);
+        const backupStore = new BackupBatchStore(options.clock, this.control);
+        backupStore.addTo(this.router);
+        const peerRouter = options.sharedRouter ?? this.router;
+        this.announcementForwarder.addTo(peerRouter);
         this.dispatcher.addTo(this.router);
-        new TicketServer(this.local, options.clock, request => this.dispatcher.preemptHere(request)).addTo(served);
+        new TicketServer(this.local, options.clock, request => this.dispatcher.preemptLocal(request)).addTo(peerRouter);
         this.dispatcher.onPreempt(request => this.requests.cancel(request, "preempted"));
         this.control.onViewChange(() => this.requests.cancelWithdrawn(hash => !!this.control.findWorkspace(hash)));
         lifecycle.own(() => this.local.close());
@@ -257,28 +259,28 @@
         lifecycle.run(running => this.client.run(running), onError);
         lifecycle.run(running => this.dispatcher.run(running), onError);
         lifecycle.run(running => this.meter.run(running), onError);
-        lifecycle.run(running => this.evacuations.run(running), onError);
-        lifecycle.run(running => this.crashes.run(running), onError);
-        lifecycle.run(running => keeper.run(running), onError);
+        lifecycle.run(running => this.evacuationMonitor.run(running), onError);
+        lifecycle.run(running => this.crashMonitor.run(running), onError);
+        lifecycle.run(running => backupStore.run(running), onError);
         const { traffic } = this.router;
         lifecycle.run(running => reportTraffic({ ...options, traffic }, running), onError);
-        const reporter = this.makeReporter();
+        const reporter = this.makeDemandReporter();
         lifecycle.child().run(running => reporter.run(running), onError);
         if (options.upstreams) await this.openUpstreams(options.upstreams);
-        await this.routes?.start(this.client, this.cache, this.links, lifecycle);
-        if (options.routes) lifecycle.run(running => this.makeSurvey(options.routes!).run(running), onError);
+        await this.routes?.start(this.client, this.cache, this.controlLinks, lifecycle);
+        if (options.routes) lifecycle.run(running => this.makeCacheDiscovery(options.routes!).run(running), onError);
         if (!options.callers) return;
         await this.awaitView(signal);
         await this.openCallers(options.callers);
     }
 
-    /** Changes the control processes that settings name. */
+    /** Replaces the control processes named in the settings. */
     setControlPeers(addresses: readonly Address[]): void {
-        this.links.setSeeds(addresses);
+        this.controlLinks.setSeeds(addresses);
     }
 
     private async openUpstreams(address: Address): Promise<void> {
-        const handler = serveAnnouncements(announcement => this.spreader.take(announcement));
+        const handler = serveAnnouncements(announcement => this.announcementForwarder.accept(announcement));
         const upstreams = await this.options.http.serve(address, DEFAULT_HTTP_LIMITS, handler);
         this.lifecycle.own(() => upstreams.close());
     }
@@ -294,23 +296,23 @@
         const listener = await options.http.serve(
             address,
             options.callerLimits,
-            serveCallers(this.context(), options.self),
+            serveCallers(this.makeContext(), options.self),
         );
         this.callerListener = listener;
         this.lifecycle.own(() => listener.close());
         options.logger.info("entry-ready", { callers: formatAddress(listener.address) });
     }
 
-    private makeReporter(): DemandReporter {
+    private makeDemandReporter(): DemandReporter {
         const { client, registry, local, dispatcher } = this;
         const { clock, self, region } = this.options;
         return new DemandReporter({ clock, self: self.host, region, client, registry, local, dispatcher });
     }
 
-    private makeSurvey({ dialect }: RouteServiceSettings): CacheSurvey {
+    private makeCacheDiscovery({ dialect }: RouteServiceSettings): CacheDiscovery {
         const { local, dispatcher, registry, cache } = this;
         const self = this.options.self.host;
-        return new CacheSurvey({
+        return new CacheDiscovery({
             ...this.options,
             self,
             dialect,
@@ -321,22 +323,22 @@
         });
     }
 
-    private context(): EntryContext {
+    private makeContext(): EntryContext {
         return {
             ...this.options,
             control: this.control,
             dispatcher: this.dispatcher,
             requests: this.requests,
             meter: this.meter,
-            spendGate: new SpendGate({ ...this.options, control: this.control }),
-            retries: new AttemptBudget(this.options.clock, DEFAULT_RETRY_LIMITS),
-            crashes: this.crashes,
-            isDraining: () => this.announcedDrain,
-            isRefusing: () => this.refusing,
+            spendLimiter: new SpendLimiter({ ...this.options, control: this.control }),
+            retryBudget: new AttemptBudget(this.options.clock, DEFAULT_RETRY_LIMITS),
+            crashGuard: this.crashMonitor,
+            isDraining: () => this.draining,
+            isRefusing: () => this.refusingRequests,
         };
     }
 
-    private makeRoutes(settings: RouteServiceSettings): RouteService {
+    private makeRouteService(settings: RouteServiceSettings): RouteService {
         return new RouteService({
             ...this.options,
             settings,
@@ -344,22 +346,22 @@
             registry: this.registry,
             requests: this.requests,
             dispatcher: this.dispatcher,
-            crashes: this.crashes,
-            time: this.time,
-            isDraining: () => this.announcedDrain,
-            levelNeeded: () => this.dispatcher.mayDecide() ? "all" : "membership",
+            crashes: this.crashMonitor,
+            time: this.trueTime,
+            isDraining: () => this.draining,
+            levelNeeded: () => this.dispatcher.mayOwnQueues() ? "all" : "membership",
         });
     }
 
-    private evacuateZones(zones: readonly ZoneId[]): void {
-        this.evacuations.setZones(zones, this.cache.revision);
-        this.registry.setEvacuatedZones(zones, pool => this.allowance.coldMsOf(pool));
+    private applyEvacuatedZones(zones: readonly ZoneId[]): void {
+        this.evacuationMonitor.setZones(zones, this.cache.revision);
+        this.registry.setEvacuatedZones(zones, pool => this.sendAllowance.coldMsOf(pool));
     }
 
     private makeClient(): ControlClient {
         const { options, cache } = this;
         return new ControlClient({
-            links: this.links.list,
+            links: this.controlLinks.list,
             clock: options.clock,
             random: options.random,
             self: {
@@ -372,12 +374,12 @@
             },
             cache,
             onChange: change => {
-                if (change.evacuatedZones) this.evacuateZones(change.evacuatedZones);
+                if (change.evacuatedZones) this.applyEvacuatedZones(change.evacuatedZones);
                 this.control.viewChanged();
-                this.crashes.viewChanged();
+                this.crashMonitor.viewChanged();
                 this.routes?.viewChanged();
             },
-            onControls: addresses => this.links.setMembers(addresses),
+            onControls: addresses => this.controlLinks.setMembers(addresses),
         });
     }
 }
--- a/src/entry/evacuationWatch/index.ts
+++ b/src/entry/evacuationMonitor/index.ts
@@ -4,65 +4,65 @@
 import { Clock } from "../../ports/index.js";
 import { UpstreamRegistry } from "../../upstream/index.js";
 
-/** How often what still runs in evacuated zones is counted, in milliseconds. */
-const COUNT_EVERY_MS = 1_000;
+/** Interval at which running calls in evacuated zones are counted, in milliseconds. */
+const COUNT_INTERVAL_MS = 1_000;
 
-/** What the watch works with. */
-export interface EvacuationWatchOptions {
+/** Options of `EvacuationMonitor`. */
+export interface EvacuationMonitorOptions {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly metrics: Metrics;
     readonly registry: Pick<UpstreamRegistry, "get">;
-    /** The upstreams of this entry's running calls, one for each call. */
+    /** Lists the upstreams of this entry's running calls, one item per call. */
     readonly listRunning: () => Iterable<UpstreamId>;
 }
 
-/** Tells operators which zones are evacuated, as this process knows it, and how many of its calls still run there. */
-export class EvacuationWatch {
-    private evacuated: readonly ZoneId[] = [];
+/** Logs and measures which zones this process knows to be evacuated, and how many of its calls still run there. */
+export class EvacuationMonitor {
+    private evacuatedZones: readonly ZoneId[] = [];
     /** Evacuated zones in which calls may still be running. */
-    private readonly busy = new Set<ZoneId>();
+    private readonly busyZones = new Set<ZoneId>();
 
-    constructor(private readonly options: EvacuationWatchOptions) {}
+    constructor(private readonly options: EvacuationMonitorOptions) {}
 
     /**
-     * Takes over the evacuated zones.
+     * Applies a change of the evacuated zones.
      *
-     * @param zones - All of them.
-     * @param revision - The configuration that says so.
+     * @param zones - All evacuated zones.
+     * @param revision - Revision of the configuration that lists them.
      */
     setZones(zones: readonly ZoneId[], revision: number): void {
         const { logger, metrics } = this.options;
-        for (const zone of zones.filter(each => !this.evacuated.includes(each))) {
+        for (const zone of zones.filter(each => !this.evacuatedZones.includes(each))) {
             logger.info("zone-evacuated", { zone, revision });
             metrics.gauge("zone_evacuated", 1, { zone });
-            this.busy.add(zone);
+            this.busyZones.add(zone);
         }
-        for (const zone of this.evacuated.filter(each => !zones.includes(each))) {
+        for (const zone of this.evacuatedZones.filter(each => !zones.includes(each))) {
             logger.info("zone-restored", { zone, revision });
             metrics.gauge("zone_evacuated", 0, { zone });
-            this.busy.delete(zone);
+            this.busyZones.delete(zone);
         }
-        this.evacuated = zones;
+        this.evacuatedZones = zones;
     }
 
-    /** Counts until the signal is aborted. */
+    /** Counts and reports running calls until the signal is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.options.clock.sleepToTick(COUNT_EVERY_MS, signal);
-            if (this.busy.size > 0) this.count();
+            await this.options.clock.sleepToTick(COUNT_INTERVAL_MS, signal);
+            if (this.busyZones.size > 0) this.reportRunning();
         }
     }
 
-    /** A zone in which nothing runs any more is reported once. */
-    private count(): void {
+    /** Stops reporting a zone after the first count of 0. */
+    private reportRunning(): void {
         const { logger, metrics } = this.options;
         const running = this.countByZone();
-        for (const zone of [...this.busy]) {
+        for (const zone of [...this.busyZones]) {
             const calls = running.get(zone) ?? 0;
             logger.info("zone-calls-running", { zone, calls });
             metrics.gauge("zone_calls_running", calls, { zone });
-            if (calls === 0) this.busy.delete(zone);
+            if (calls === 0) this.busyZones.delete(zone);
         }
     }
 
--- a/src/entry/fleetControl/index.ts
+++ b/src/entry/fleetControl/index.ts
@@ -4,7 +4,7 @@
 import { WorkspaceView } from "../../workspace/index.js";
 import { ControlAccess, ControlAccessError } from "../controlAccess/index.js";
 
-/** The control processes of a fleet, by their client and the view that it keeps. */
+/** Control access through a `ControlClient` and the view that it keeps up to date. */
 export class FleetControl extends ControlAccess {
     private readonly listeners: (() => void)[] = [];
 
@@ -33,7 +33,7 @@
         this.listeners.push(listener);
     }
 
-    /** Told by the client that the view has changed. */
+    /** Called by the client when the view has changed. */
     viewChanged(): void {
         for (const listener of this.listeners) listener();
     }
--- a/src/entry/fleetDispatcher/index.ts
+++ b/src/entry/fleetDispatcher/index.ts
@@ -13,248 +13,252 @@
 import { Metrics } from "../../metrics/index.js";
 import { Clock } from "../../ports/index.js";
 import { PeerError, PeerLink, PeerRouter } from "../../wire/index.js";
-import { LimitExchange } from "../limitExchange/index.js";
 import { PeerDirectory } from "../peerDirectory/index.js";
+import { RequestLimitExchange } from "../requestLimitExchange/index.js";
 import { AdoptNotice, DISPATCH_METHODS, TicketReply } from "../ticketServer/index.js";
 
-/** What a fleet's dispatcher is made of. */
+/** Options of `FleetDispatcher`. */
 export interface FleetDispatcherOptions {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly metrics: Metrics;
     readonly self: HostId;
+    /** Ranks hosts as owners of a pool's queue. */
     readonly owners: PoolOwnerTable;
     readonly directory: PeerDirectory;
-    /** The queues of this host, for the pools that it owns. */
+    /** Queues of this host, for the pools that it owns. */
     readonly local: LocalDispatcher;
-    /** The pools that calls are routed to, where that is known ahead of the first ticket. */
+    /** Lists the pools that calls are routed to, where these are known before the first ticket. */
     readonly pools?: () => readonly PoolId[];
 }
 
-/** A grant in use, and the owner of the queue that counts it. */
+/** A grant in use, and the owner of the queue that counts it as running. */
 interface RunningGrant {
     owner: HostId;
     readonly ticket: Ticket;
     readonly grant: Grant;
+    /** Monotonic time, in milliseconds. */
     readonly grantedAt: number;
+    /** Whether the first token has been reported to the owner. */
     hasProgress: boolean;
 }
 
-/** Beyond the longest wait, for the way there and back. */
+/** Added to a ticket's longest wait for the round trip to the owner, in milliseconds. */
 const REPLY_SLACK_MS = 500;
-const PROGRESS_EVERY_MS = 200;
-/** After so many owners that said nothing, or so many tries, this host decides by itself. */
-const MOST_SILENT_OWNERS = 2;
-const MOST_TRIES = 8;
-/** An owner that can't be reached and says so sooner than this costs a request nothing, in milliseconds. */
-const AT_ONCE_MS = 20;
-/** How many hosts that own a pool's queue, or would own it next, are kept connected: two may be lost at once. */
-const KEPT_OWNERS = 3;
+const PROGRESS_INTERVAL_MS = 200;
+/** After this many unresponsive owners, or attempts in total, this host decides on its own. */
+const MAX_UNRESPONSIVE_OWNERS = 2;
+const MAX_OWNER_ATTEMPTS = 8;
+/** A failure to reach an owner that takes less than this costs a request no noticeable time and does not count as unresponsive, in milliseconds. */
+const FAST_FAILURE_MS = 20;
+/** Number of hosts, the owner of a pool's queue and its successors, to which links are kept open: two may be lost at once. */
+const OWNER_CANDIDATE_COUNT = 3;
 const RETRY_AFTER_OWNER_LOST_MS = 1_000;
 /**
- * How long an owner may take to decide or to say that it will, in milliseconds. An owner that is cut off or frozen costs each
- * request so much once; the smallest targets are some hundred milliseconds.
+ * Time within which an owner must decide on a ticket or confirm that it is queued, in milliseconds. An owner that is cut off or
+ * frozen delays each request by this much once; the smallest latency targets are a few hundred milliseconds.
  */
-const OWNER_ANSWER_MS = 120;
+const OWNER_REPLY_TIMEOUT_MS = 120;
 
 /**
- * Sends each ticket to the entry that owns the pool's queue, so that order and fairness hold over all entries.
+ * Submits each ticket to the host that owns the pool's queue, so that order and fairness hold across all entries.
  *
- * Guards against an owner that is lost with the queue: the ticket goes to the next owner, with the time it has waited, and
- * after some of these this host decides by itself, by what it knows. A grant that the lost owner may have given is not used, since
- * it did not come.
+ * If the owner is lost together with its queue, the ticket goes to the next owner with the time it has waited, and after
+ * several failures this host decides on its own from local knowledge. A grant that the lost owner may have made is not used, since
+ * it was never received.
  *
  * @example
  * const decision = await dispatcher.submit(ticket, signal);
  */
 export class FleetDispatcher extends Dispatcher {
-    private readonly granted = new Map<RequestId, RunningGrant>();
-    private readonly gathered = new Map<HostId, Map<RequestId, number>>();
-    /** Told that an owner keeps a ticket waiting. */
-    private readonly queued = new Map<RequestId, () => void>();
-    private readonly limits: LimitExchange;
-    private preempt: (request: RequestId) => void = () => undefined;
+    private readonly runningGrants = new Map<RequestId, RunningGrant>();
+    /** By owner, tokens of each request not yet reported to it. */
+    private readonly pendingProgress = new Map<HostId, Map<RequestId, number>>();
+    /** By request, called when the owner confirms that the ticket is queued. */
+    private readonly queuedListeners = new Map<RequestId, () => void>();
+    private readonly limitExchange: RequestLimitExchange;
+    private preemptListener: (request: RequestId) => void = () => undefined;
 
     constructor(private readonly options: FleetDispatcherOptions) {
         super();
-        this.limits = new LimitExchange({ ...options, ownerOf: pool => this.ownerOf(pool) });
+        this.limitExchange = new RequestLimitExchange({ ...options, ownerOf: pool => this.ownerOf(pool) });
     }
 
-    /** Takes preemptions that owners send. */
+    /** Registers the methods that owners call: preemption, and confirmation that a ticket is queued. */
     addTo(router: PeerRouter): void {
-        router.add(DISPATCH_METHODS.preempt, body => this.preempt(body as RequestId));
-        router.add(DISPATCH_METHODS.queued, body => this.queued.get(body as RequestId)?.());
+        router.add(DISPATCH_METHODS.preempt, body => this.preemptListener(body as RequestId));
+        router.add(DISPATCH_METHODS.queued, body => this.queuedListeners.get(body as RequestId)?.());
     }
 
-    /** Which entry owns a pool's queue, as far as this one knows. */
+    /** Returns the host that owns a pool's queue, according to this host's view. */
     ownerOf(pool: PoolId): HostId {
         const { directory, owners, self } = this.options;
         return owners.rank(pool, directory.queueHosts())[0] ?? self;
     }
 
-    /** Whether this host owns the queue of a pool, or may own it soon. */
-    mayDecide(): boolean {
+    /** Whether this host owns the queue of any pool, or may soon own one. */
+    mayOwnQueues(): boolean {
         const pools = this.options.pools?.() ?? [];
-        return pools.some(pool => this.isAmongOwners(pool, KEPT_OWNERS));
+        return pools.some(pool => this.isAmongOwners(pool, OWNER_CANDIDATE_COUNT));
     }
 
-    /** The upstreams of the grants in use, one for each. */
+    /** Lists the upstreams of the grants in use, one item per grant. */
     listRunning(): UpstreamId[] {
-        return [...this.granted.values()].map(({ grant }) => grant.upstream);
+        return [...this.runningGrants.values()].map(({ grant }) => grant.upstream);
     }
 
     /**
-     * This host's place among those that own a pool's queue or would own it next, as it sees them: 0 for the owner. Undefined where hosts of its
-     * kind own no queues.
+     * Returns this host's rank as owner of a pool's queue, according to its own view: 0 for the owner, 1 for its successor. Undefined where
+     * hosts of its kind own no queues.
      */
-    placeAmongOwners(pool: PoolId): number | undefined {
+    ownerRank(pool: PoolId): number | undefined {
         const { directory, owners, self } = this.options;
-        if (!directory.isOwningKind) return undefined;
-        const place = owners.rank(pool, directory.queueHosts()).indexOf(self);
-        return place < 0 ? undefined : place;
+        if (!directory.isDesignatedOwner) return undefined;
+        const rank = owners.rank(pool, directory.queueHosts()).indexOf(self);
+        return rank < 0 ? undefined : rank;
     }
 
-    /** Whether this host is one of the first that own a pool's queue, or would own it next. */
-    private isAmongOwners(pool: PoolId, most: number): boolean {
+    /** Whether this host is among the first `count` hosts in the ranking of owners of a pool's queue. */
+    private isAmongOwners(pool: PoolId, count: number): boolean {
         const { directory, owners, self } = this.options;
-        return owners.rank(pool, directory.queueHosts()).slice(0, most).includes(self);
+        return owners.rank(pool, directory.queueHosts()).slice(0, count).includes(self);
     }
 
     onPreempt(listener: (request: RequestId) => void): void {
-        this.preempt = listener;
+        this.preemptListener = listener;
     }
 
-    /** Told by this host's own queues. */
-    preemptHere(request: RequestId): void {
-        this.preempt(request);
+    /** Called when this host's own queues preempt a request of this host. */
+    preemptLocal(request: RequestId): void {
+        this.preemptListener(request);
     }
 
     async submit(ticket: Ticket, signal: AbortSignal): Promise<Either<Refusal, Grant>> {
         const { clock, directory } = this.options;
         const startedAt = clock.monotonic();
-        let silentOwners = 0;
-        for (let tries = 0; tries < MOST_TRIES && silentOwners < MOST_SILENT_OWNERS; tries++) {
+        let unresponsive = 0;
+        for (let attempts = 0; attempts < MAX_OWNER_ATTEMPTS && unresponsive < MAX_UNRESPONSIVE_OWNERS; attempts++) {
             const askedAt = clock.monotonic();
-            const present = this.bringUpToDate(ticket, startedAt);
+            const current = this.refreshTicket(ticket, startedAt);
             const owner = this.ownerOf(ticket.pool);
-            const reply = await this.askOwner(owner, present, signal);
-            if (signal.aborted && reply.isLeft()) return Left(refuse(ticket, "cancelled", "the caller has gone"));
+            const reply = await this.submitToOwner(owner, current, signal);
+            if (signal.aborted && reply.isLeft()) return Left(makeRefusal(ticket, "cancelled", "the caller has gone"));
             const decision = reply.toMaybe().extract();
-            if (decision && !isHandover(decision)) return this.takeDecision(present, owner, decision);
-            if (clock.monotonic() - askedAt >= AT_ONCE_MS) silentOwners++;
+            if (decision && !isHandover(decision)) return this.acceptDecision(current, owner, decision);
+            if (clock.monotonic() - askedAt >= FAST_FAILURE_MS) unresponsive++;
             directory.suspect(owner);
-            // The next owner must know what runs before it judges what waits.
-            this.tellNewOwners();
+            // The next owner must know the running requests before it decides on waiting tickets.
+            this.reassignGrants();
         }
-        return this.decideHere(this.bringUpToDate(ticket, startedAt), signal);
+        return this.decideLocally(this.refreshTicket(ticket, startedAt), signal);
     }
 
-    /** Guards against a decision by a host that has not heard what this one was told: a new owner, or this host itself. */
-    private bringUpToDate(ticket: Ticket, startedAt: number): Ticket {
-        const limits = this.limits.list(ticket.pool);
+    /** Updates a ticket's age, and adds the request limits that this host knows: the deciding host, such as a new owner, may not know them. */
+    private refreshTicket(ticket: Ticket, startedAt: number): Ticket {
+        const limits = this.limitExchange.list(ticket.pool);
         const ageMs = ticket.ageMs + this.options.clock.monotonic() - startedAt;
         return { ...ticket, ageMs, ...(limits.length > 0 ? { limits } : {}) };
     }
 
-    private async decideHere(ticket: Ticket, signal: AbortSignal): Promise<Either<Refusal, Grant>> {
+    private async decideLocally(ticket: Ticket, signal: AbortSignal): Promise<Either<Refusal, Grant>> {
         const { self, local } = this.options;
         const decision = await local.submit(ticket, signal);
-        return this.takeDecision(ticket, self, decision);
+        return this.acceptDecision(ticket, self, decision);
     }
 
     complete(completion: Completion): void {
-        const owner = this.granted.get(completion.request)?.owner;
-        this.granted.delete(completion.request);
+        const owner = this.runningGrants.get(completion.request)?.owner;
+        this.runningGrants.delete(completion.request);
         if (owner === undefined || owner === this.options.self) {
             this.options.local.complete(completion);
             return;
         }
-        this.gathered.get(owner)?.delete(completion.request);
+        this.pendingProgress.get(owner)?.delete(completion.request);
         this.options.directory.linkTo(owner)?.notify(DISPATCH_METHODS.complete, completion);
     }
 
     progress(request: RequestId, tokens: number): void {
-        const owner = this.granted.get(request)?.owner;
+        const owner = this.runningGrants.get(request)?.owner;
         if (owner === undefined || owner === this.options.self) {
             this.options.local.progress(request, tokens);
             return;
         }
-        const running = this.granted.get(request);
+        const running = this.runningGrants.get(request);
         if (running && !running.hasProgress) {
-            // The owner predicts first tokens from those that have come: this news is worth a message of its own.
+            // The owner predicts first-token times from those observed, so the first token is reported immediately.
             running.hasProgress = true;
             this.sendProgress(owner, new Map([[request, tokens]]));
             return;
         }
-        let sums = this.gathered.get(owner);
-        if (!sums) this.gathered.set(owner, sums = new Map());
+        let sums = this.pendingProgress.get(owner);
+        if (!sums) this.pendingProgress.set(owner, sums = new Map());
         sums.set(request, (sums.get(request) ?? 0) + tokens);
     }
 
     noteLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined): void {
-        this.limits.noteAnswer(pool, upstream, perSecond);
+        this.limitExchange.recordAnswer(pool, upstream, perSecond);
     }
 
-    /** Forgets what an upstream that has ended said of itself. */
+    /** Drops the request limits of an upstream that has ended. */
     forgetUpstream(upstream: UpstreamId): void {
-        this.limits.forget(upstream);
+        this.limitExchange.forget(upstream);
     }
 
-    /** Sends what was gathered for the owners, one notice each, until the signal is aborted. */
+    /** Sends the collected progress, one message per owner, and follows changes of owners, until the signal is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.options.clock.sleepToTick(PROGRESS_EVERY_MS, signal);
-            for (const [owner, sums] of this.gathered) this.sendProgress(owner, sums);
-            this.gathered.clear();
-            this.warmLinks();
+            await this.options.clock.sleepToTick(PROGRESS_INTERVAL_MS, signal);
+            for (const [owner, sums] of this.pendingProgress) this.sendProgress(owner, sums);
+            this.pendingProgress.clear();
+            this.openOwnerLinks();
             this.suspectLostOwners();
-            this.tellNewOwners();
+            this.reassignGrants();
         }
     }
 
-    /** A link opens on its first use, and a ticket would have to wait for that. */
-    private warmLinks(): void {
+    /** Opens the links to possible owners in advance: links open on first use, and a ticket would wait for that. */
+    private openOwnerLinks(): void {
         const { directory, owners, self, pools } = this.options;
         const hosts = directory.queueHosts();
         for (const pool of pools?.() ?? []) {
-            for (const host of owners.rank(pool, hosts).slice(0, KEPT_OWNERS)) {
+            for (const host of owners.rank(pool, hosts).slice(0, OWNER_CANDIDATE_COUNT)) {
                 if (host !== self) directory.linkTo(host);
             }
         }
     }
 
     /**
-     * Guards against entries that find out one by one, each with its next ticket, that an owner is lost: the new owner
-     * would judge the first tickets without knowing what the other entries run.
+     * Detects lost owners before the next ticket does. Otherwise entries would detect the loss one by one, each with its next
+     * ticket, and the new owner would decide on the first tickets without knowing the other entries' running requests.
      */
     private suspectLostOwners(): void {
         const { directory, self } = this.options;
-        const owners = new Set([...this.granted.values()].map(({ owner }) => owner));
+        const owners = new Set([...this.runningGrants.values()].map(({ owner }) => owner));
         for (const owner of owners) {
             if (owner !== self && !directory.linkTo(owner)?.isOpen) directory.suspect(owner);
         }
     }
 
     /**
-     * Guards against a new owner that takes busy upstreams for idle: a load report is old, and the grants of the owner before
-     * were its own knowledge. Each entry tells the new owner what of its own runs.
+     * Reports this entry's running requests to new owners. Otherwise a new owner would take busy upstreams for idle: load reports are
+     * old, and only the previous owner knew its grants.
      */
-    private tellNewOwners(): void {
+    private reassignGrants(): void {
         const owners = new Map<PoolId, HostId>();
-        for (const running of this.granted.values()) {
+        for (const running of this.runningGrants.values()) {
             const { pool } = running.ticket;
             const owner = owners.get(pool) ?? this.ownerOf(pool);
             owners.set(pool, owner);
-            if (owner !== running.owner) this.handOver(running, owner);
+            if (owner !== running.owner) this.reassign(running, owner);
         }
     }
 
-    private handOver(running: RunningGrant, owner: HostId): void {
+    private reassign(running: RunningGrant, owner: HostId): void {
         const { grant } = running;
         const { self, local, directory, clock } = this.options;
-        const ticket = this.bringUpToDate(running.ticket, running.grantedAt);
+        const ticket = this.refreshTicket(running.ticket, running.grantedAt);
         const runningMs = clock.monotonic() - running.grantedAt;
-        this.releaseFrom(running.owner, running);
+        this.releaseFromOwner(running.owner, running);
         running.owner = owner;
         if (owner === self) {
             local.adopt(ticket, grant, runningMs);
@@ -265,10 +269,11 @@
     }
 
     /**
-     * Guards against an owner that was only silent for a moment: the grant ends elsewhere, and the first owner, back again, would count it as
-     * running for ever. Its upstream would seem full, or silent, and get no more work.
+     * Releases a reassigned grant from its previous owner, which may only have been unresponsive for a short time. Otherwise that owner, once
+     * back, would count the grant as running forever, since it ends elsewhere; its upstream would appear full or unresponsive and get no more
+     * work.
      */
-    private releaseFrom(owner: HostId, { ticket: { request }, grant: { upstream } }: RunningGrant): void {
+    private releaseFromOwner(owner: HostId, { ticket: { request }, grant: { upstream } }: RunningGrant): void {
         const { self, local, directory } = this.options;
         if (owner !== self) {
             directory.linkTo(owner)?.notify(DISPATCH_METHODS.cancel, request);
@@ -283,7 +288,7 @@
         if (notice.length > 0) this.options.directory.linkTo(owner)?.notify(DISPATCH_METHODS.progress, notice);
     }
 
-    private async askOwner(
+    private async submitToOwner(
         owner: HostId,
         ticket: Ticket,
         signal: AbortSignal,
@@ -294,41 +299,42 @@
         if (!link) return Left(new PeerError("unreachable", false, owner));
         const cancel = (): void => link.notify(DISPATCH_METHODS.cancel, ticket.request);
         signal.addEventListener("abort", cancel);
-        const reply = await this.awaitOwner(link, ticket);
+        const reply = await this.awaitDecision(link, ticket);
         signal.removeEventListener("abort", cancel);
         if (reply.isLeft()) cancel();
         return reply.map(body => readReply(body as TicketReply));
     }
 
-    /** The decision, unless the owner neither gives it nor says that the ticket waits. */
-    private async awaitOwner(link: PeerLink, ticket: Ticket): Promise<Either<PeerError, unknown>> {
+    /** Waits for the owner's decision; times out if the owner neither decides nor confirms that the ticket is queued. */
+    private async awaitDecision(link: PeerLink, ticket: Ticket): Promise<Either<PeerError, unknown>> {
         const { clock } = this.options;
         const limitMs = Math.max(0, ticket.maxWaitMs - ticket.ageMs) + REPLY_SLACK_MS;
-        const silence = new Promise<Either<PeerError, unknown>>(resolve => {
-            const giveUp = (): void => resolve(Left(new PeerError("timeout", true, "the owner says nothing")));
-            const timer = clock.after(OWNER_ANSWER_MS, giveUp);
-            this.queued.set(ticket.request, () => timer.cancel());
+        const timeout = new Promise<Either<PeerError, unknown>>(resolve => {
+            const giveUp = (): void =>
+                resolve(Left(new PeerError("timeout", true, "no reply from the owner of the queue")));
+            const timer = clock.after(OWNER_REPLY_TIMEOUT_MS, giveUp);
+            this.queuedListeners.set(ticket.request, () => timer.cancel());
         });
-        const reply = await Promise.race([this.callWhenOpen(link, ticket, limitMs), silence]);
-        this.queued.get(ticket.request)?.();
-        this.queued.delete(ticket.request);
+        const reply = await Promise.race([this.callWhenOpen(link, ticket, limitMs), timeout]);
+        this.queuedListeners.get(ticket.request)?.();
+        this.queuedListeners.delete(ticket.request);
         return reply;
     }
 
     private async callWhenOpen(link: PeerLink, ticket: Ticket, limitMs: number): Promise<Either<PeerError, unknown>> {
-        if (!link.isOpen) await link.awaitOpen(OWNER_ANSWER_MS);
+        if (!link.isOpen) await link.awaitOpen(OWNER_REPLY_TIMEOUT_MS);
         return link.call(DISPATCH_METHODS.submit, ticket, limitMs);
     }
 
-    private takeDecision(
+    private acceptDecision(
         ticket: Ticket,
         owner: HostId,
         decision: Either<Refusal, Grant>,
     ): Either<Refusal, Grant> {
         const grantedAt = this.options.clock.monotonic();
-        decision.ifRight(grant => this.limits.noteGrant(ticket.pool, grant));
-        return decision.map(given => ({ ...given, decidedBy: owner })).ifRight(grant =>
-            this.granted.set(ticket.request, {
+        decision.ifRight(grant => this.limitExchange.recordGrant(ticket.pool, grant));
+        return decision.map(granted => ({ ...granted, decidedBy: owner })).ifRight(grant =>
+            this.runningGrants.set(ticket.request, {
                 owner,
                 ticket,
                 grant,
@@ -343,11 +349,11 @@
     return reply.kind === "grant" ? Right(reply.grant) : Left(reply.refusal);
 }
 
-/** An owner that stops hands its queue over: what it refuses for that goes to the next one. */
+/** Whether an owner refused a ticket because it is draining and hands its queue over; the ticket then goes to the next owner. */
 function isHandover(decision: Either<Refusal, Grant>): boolean {
     return decision.isLeft() && (decision.extract() as Refusal).reason === "draining";
 }
 
-function refuse(ticket: Ticket, reason: Refusal["reason"], detail: string): Refusal {
+function makeRefusal(ticket: Ticket, reason: Refusal["reason"], detail: string): Refusal {
     return { request: ticket.request, reason, retryAfterMs: RETRY_AFTER_OWNER_LOST_MS, detail };
 }
--- a/src/entry/fleetRouteView/index.ts
+++ b/src/entry/fleetRouteView/index.ts
@@ -4,9 +4,9 @@
 import { Clock } from "../../ports/index.js";
 import { RouteTable } from "../../routing/index.js";
 
-/** The fleet document as the control processes give it. */
+/** View of the fleet document that the control client keeps up to date. */
 export class FleetRouteView extends RouteView {
-    private readonly changed = new Gate();
+    private readonly changeGate = new Gate();
 
     constructor(
         private readonly clock: Clock,
@@ -25,17 +25,17 @@
     }
 
     async whenKnown(limitMs: number, signal: AbortSignal): Promise<void> {
-        const until = this.clock.monotonic() + limitMs;
+        const deadline = this.clock.monotonic() + limitMs;
         while (!this.routes() && !signal.aborted) {
-            const leftMs = until - this.clock.monotonic();
+            const leftMs = deadline - this.clock.monotonic();
             if (leftMs <= 0) return;
-            await this.changed.wait(this.clock, leftMs, signal);
+            await this.changeGate.wait(this.clock, leftMs, signal);
         }
     }
 
-    /** Told that the cache has taken a change. */
-    noteChange(): void {
-        this.changed.open();
+    /** Called when the cache has applied a change. */
+    notifyChange(): void {
+        this.changeGate.open();
     }
 
     entryCount(): number {
--- a/src/entry/index.ts
+++ b/src/entry/index.ts
@@ -1,4 +1,4 @@
-/** The entry processes: callers' connections, streams, retries, meters, and the queues that they own. */
+/** Entry processes: callers' connections, streams, retries, usage metering, and the queues of the pools that they own. */
 export { DEFAULT_ENTRY_LIMITS, type EntryLimits } from "./entryContext/index.js";
 export * from "./entryProcess/index.js";
 export * from "./processAdmin/index.js";
--- a/src/entry/peerBatchHolder/index.ts
+++ b/src/entry/peerBatchBackup/index.ts
@@ -1,34 +1,36 @@
 import { HostId } from "../../ids/index.js";
 import { UsageBatchCommand } from "../../usage/index.js";
 import { PeerIdentity } from "../../wire/index.js";
+import { BATCH_BACKUP_METHODS, UsageBatchId } from "../backupBatchStore/index.js";
 import { PeerDirectory } from "../peerDirectory/index.js";
-import { USAGE_METHODS, UsageRelease } from "../usageKeeper/index.js";
-import { BatchHolder } from "../usageMeter/index.js";
+import { BatchBackup } from "../usageMeter/index.js";
 
+/** Timeout of one attempt to store a batch on another entry, in milliseconds. */
 const HOLD_TIMEOUT_MS = 250;
-const HOLD_TRIES = 2;
+const MAX_HOLD_ATTEMPTS = 2;
 
 /**
- * Keeps this entry's batches on another entry: the next one in the order of names, so that the load is spread evenly.
+ * Backs this entry's usage batches up on another entry: the next one in the order of host names, so that the load is spread evenly.
  *
  * @example
- * const held = await holder.hold(batch);
+ * const held = await backup.hold(batch);
  */
-export class PeerBatchHolder extends BatchHolder {
-    private readonly holders = new Map<number, HostId>();
+export class PeerBatchBackup extends BatchBackup {
+    /** By sequence number, the host that holds the batch. */
+    private readonly backupHosts = new Map<number, HostId>();
 
     constructor(private readonly directory: PeerDirectory, private readonly self: PeerIdentity) {
         super();
     }
 
     async hold(batch: UsageBatchCommand): Promise<boolean> {
-        for (let i = 0; i < HOLD_TRIES; i++) {
+        for (let i = 0; i < MAX_HOLD_ATTEMPTS; i++) {
             const host = this.nextHost();
             const link = host && this.directory.linkTo(host);
             if (!host || !link) return false;
-            const result = await link.call(USAGE_METHODS.hold, batch, HOLD_TIMEOUT_MS);
+            const result = await link.call(BATCH_BACKUP_METHODS.hold, batch, HOLD_TIMEOUT_MS);
             if (result.isRight()) {
-                this.holders.set(batch.sequence, host);
+                this.backupHosts.set(batch.sequence, host);
                 return true;
             }
             this.directory.suspect(host);
@@ -37,11 +39,11 @@
     }
 
     release(sequence: number): void {
-        const host = this.holders.get(sequence);
+        const host = this.backupHosts.get(sequence);
         if (!host) return;
-        this.holders.delete(sequence);
-        const release: UsageRelease = { ...this.self, sequence };
-        this.directory.linkTo(host)?.notify(USAGE_METHODS.release, release);
+        this.backupHosts.delete(sequence);
+        const release: UsageBatchId = { ...this.self, sequence };
+        this.directory.linkTo(host)?.notify(BATCH_BACKUP_METHODS.release, release);
     }
 
     private nextHost(): HostId | undefined {
--- a/src/entry/peerDirectory/index.ts
+++ b/src/entry/peerDirectory/index.ts
@@ -5,7 +5,7 @@
 import { PeerIdentity, PeerLink, PeerRouter, PeerTiming } from "../../wire/index.js";
 import { ControlAccess } from "../controlAccess/index.js";
 
-/** What a directory is made of. */
+/** Options of `PeerDirectory`. */
 export interface PeerDirectoryOptions {
     readonly network: Network;
     readonly clock: Clock;
@@ -14,10 +14,10 @@
     readonly router: PeerRouter;
     readonly timing: PeerTiming;
     readonly control: ControlAccess;
-    /** To the control processes, whose hosts may own queues. */
+    /** Links to the control processes, whose hosts may own queues. */
     readonly controlLinks: readonly PeerLink[];
     readonly lifecycle: Lifecycle;
-    /** This process is there to own queues, and serves no callers. */
+    /** Whether this process only owns queues and serves no callers. */
     readonly ownsQueues?: boolean;
 }
 
@@ -27,28 +27,28 @@
     readonly lifecycle: Lifecycle;
 }
 
-interface CandidateList {
+interface PeerLists {
     readonly entries: readonly EntryView[];
-    /** Monotonic time at which it is out of date, in milliseconds. */
-    readonly until: number;
+    /** Monotonic time at which the next suspicion ends and the lists must be rebuilt, in milliseconds. */
+    readonly validUntil: number;
     readonly byHost: ReadonlyMap<HostId, EntryView>;
     readonly queueHosts: readonly HostId[];
     readonly callerHosts: readonly HostId[];
 }
 
-const NO_CANDIDATES: CandidateList = {
+const NO_PEERS: PeerLists = {
     entries: [],
-    until: Number.NEGATIVE_INFINITY,
+    validUntil: Number.NEGATIVE_INFINITY,
     byHost: new Map(),
     queueHosts: [],
     callerHosts: [],
 };
 
-/** A peer to which no call got through is left out of choices for this long. */
-const SUSPECT_MS = 2_000;
+/** Time for which a peer that could not be reached is excluded from choices, in milliseconds. */
+const SUSPICION_MS = 2_000;
 
 /**
- * The other entries, and a link to each one that is needed. Links open on first use, so that a host of a large fleet keeps few.
+ * Lists the other entries and provides links to them. Links open on first use, so that a host of a large fleet keeps few open.
  *
  * @example
  * directory.linkTo(owner)?.call("dispatch.submit", ticket, 1_000);
@@ -56,44 +56,44 @@
 export class PeerDirectory {
     private readonly links = new Map<HostId, OpenLink>();
     private readonly suspects = new Map<HostId, number>();
-    private known = NO_CANDIDATES;
+    private peers = NO_PEERS;
 
     constructor(private readonly options: PeerDirectoryOptions) {}
 
     /**
-     * The hosts among which the owners of queues are chosen: those that are there for it, or, where there are none or none answers, the
-     * entries that serve callers.
+     * The hosts among which the owners of queues are chosen: the dedicated queue hosts, or the entries that serve callers where no queue host
+     * exists or responds.
      */
     queueHosts(): readonly HostId[] {
-        return this.list().queueHosts;
+        return this.getPeers().queueHosts;
     }
 
     /**
-     * Whether this host is of the kind that owns queues: it is there for it, or no host is. An entry that owns one only because no owner
-     * answers is not; other entries may decide for themselves at the same time.
+     * Whether this host is meant to own queues: it is a dedicated queue host, or no such host exists. An entry that owns a queue only because no
+     * queue host responds is not, since other entries may be deciding on their own at the same time.
      */
-    get isOwningKind(): boolean {
+    get isDesignatedOwner(): boolean {
         const { ownsQueues = false, control } = this.options;
         return ownsQueues || !control.entries().some(entry => entry.ownsQueues);
     }
 
-    /** The entries that serve callers, this one among them if it does. */
+    /** The entries that serve callers, including this one if it does. */
     callerHosts(): readonly HostId[] {
-        return this.list().callerHosts;
+        return this.getPeers().callerHosts;
     }
 
-    /** Leaves a host out of choices for a while. */
+    /** Excludes a host that could not be reached from choices for `SUSPICION_MS`. */
     suspect(host: HostId): void {
-        this.suspects.set(host, this.options.clock.monotonic() + SUSPECT_MS);
-        this.known = NO_CANDIDATES;
+        this.suspects.set(host, this.options.clock.monotonic() + SUSPICION_MS);
+        this.peers = NO_PEERS;
     }
 
     /**
-     * The link to a host, or undefined when the holder does not list it. One that owns queues is reached over the link to its control process:
-     * a fleet of many entries then keeps half as many connections alive.
+     * Returns the link to a host, or undefined when the holder does not list the host. A dedicated queue host is reached over the link to its
+     * control process, so that a fleet of many entries keeps half as many connections alive.
      */
     linkTo(host: HostId): PeerLink | undefined {
-        const entry = this.list().byHost.get(host);
+        const entry = this.getPeers().byHost.get(host);
         if (entry?.ownsQueues) return this.options.controlLinks.find(link => link.peer?.host === host);
         if (!entry) {
             this.closeLink(host);
@@ -105,31 +105,33 @@
         return this.openLink(host, entry);
     }
 
-    /** Made anew only when the entries have changed or a suspicion ends: it is asked for with each ticket. */
-    private list(): CandidateList {
+    /** Returns the current lists. They are read for each ticket, so they are rebuilt only when the entries change or a suspicion ends. */
+    private getPeers(): PeerLists {
         const { control, clock } = this.options;
         const now = clock.monotonic();
         const entries = control.entries();
-        if (this.known.entries !== entries || now >= this.known.until) this.known = this.listCandidates(entries, now);
-        return this.known;
+        if (this.peers.entries !== entries || now >= this.peers.validUntil) this.peers = this.buildLists(entries, now);
+        return this.peers;
     }
 
-    private listCandidates(entries: readonly EntryView[], now: number): CandidateList {
+    private buildLists(entries: readonly EntryView[], now: number): PeerLists {
         const { self, ownsQueues = false } = this.options;
         for (const [host, until] of this.suspects) {
             if (until <= now) this.suspects.delete(host);
         }
-        const able = entries.filter(({ host, draining }) => !draining && !this.suspects.has(host as HostId));
-        const hostsOf = (kind: boolean): HostId[] => {
-            const hosts = able.filter(entry => (entry.ownsQueues ?? false) === kind).map(({ host }) => host as HostId);
-            return ownsQueues !== kind || hosts.includes(self.host) ? hosts : [...hosts, self.host];
+        const eligible = entries.filter(({ host, draining }) => !draining && !this.suspects.has(host as HostId));
+        const hostsOf = (ownsQueuesOnly: boolean): HostId[] => {
+            const hosts = eligible.filter(entry => (entry.ownsQueues ?? false) === ownsQueuesOnly).map(({ host }) =>
+                host as HostId
+            );
+            return ownsQueues !== ownsQueuesOnly || hosts.includes(self.host) ? hosts : [...hosts, self.host];
         };
-        const until = Math.min(Number.POSITIVE_INFINITY, ...this.suspects.values());
+        const validUntil = Math.min(Number.POSITIVE_INFINITY, ...this.suspects.values());
         const callerHosts = hostsOf(false);
         const owners = hostsOf(true);
-        // Of two runs of a host the first stays, as the holder lists them.
+        // Where a host is listed with two incarnations, the first in the holder's order is kept.
         const byHost = new Map([...entries].reverse().map(entry => [entry.host as HostId, entry]));
-        return { entries, until, byHost, callerHosts, queueHosts: owners.length > 0 ? owners : callerHosts };
+        return { entries, validUntil, byHost, callerHosts, queueHosts: owners.length > 0 ? owners : callerHosts };
     }
 
     private openLink(host: HostId, entry: EntryView): PeerLink | undefined {
--- a/src/entry/prepareChat/index.ts
+++ b/src/entry/prepareChat/index.ts
@@ -10,25 +10,26 @@
 import { EntryContext } from "../entryContext/index.js";
 import { refuseKeyInContent } from "../readKey/index.js";
 
-/** A chat request that was found good. */
+/** A validated chat request. */
 export interface PreparedChat {
     readonly workspace: WorkspaceView;
     readonly classView: ClassView;
     readonly pool: PoolId;
     readonly chat: ChatRequest;
     readonly maxTokens: number;
-    /** An estimate; the engine counts the true number. */
+    /** Estimated number of prompt tokens; the engine counts the actual number. */
     readonly promptTokens: number;
+    /** Hashes of the prompt's prefixes, which guide the choice of an upstream. */
     readonly prefixes: readonly string[];
-    /** Names the chat by its content. */
+    /** Identifies the chat by its content. */
     readonly fingerprint: RequestFingerprint;
 }
 
 const CHARACTERS_PER_TOKEN = 4;
-/** How many prefixes of a prompt are told apart; more add little to the choice of an upstream. */
-const MOST_PREFIXES = 24;
+/** Maximum number of prefixes hashed per prompt; more add little to the choice of an upstream. */
+const MAX_PREFIX_COUNT = 24;
 
-/** Reads and checks a chat request. */
+/** Reads and validates a chat request. */
 export async function prepareChat(
     ctx: EntryContext,
     req: HttpRequest,
@@ -61,7 +62,7 @@
         pool: chat.model as PoolId,
         maxTokens: chat.max_tokens ?? ctx.limits.defaultMaxTokens,
         promptTokens: Math.ceil(characters / CHARACTERS_PER_TOKEN),
-        prefixes: hashPrefixes(chat.messages, MOST_PREFIXES),
+        prefixes: hashPrefixes(chat.messages, MAX_PREFIX_COUNT),
         fingerprint: fingerprintRequest({
             method: "POST",
             host: "",
--- a/src/entry/prepareService/index.ts
+++ b/src/entry/prepareService/index.ts
@@ -11,37 +11,37 @@
 import { EntryContext } from "../entryContext/index.js";
 import { refuseKeyInContent } from "../readKey/index.js";
 
-/** What makes a non-repeatable call the same call when it is sent again. */
+/** Identifies a non-repeatable call, so that a resend of it is recognized. */
 export interface CallIdentity {
     readonly key: IdempotencyKey;
     /** SHA-256 of method, path and body. */
     readonly digest: string;
 }
 
-/** A service call that was found good. */
+/** A validated service call. */
 export interface PreparedService {
     readonly workspace: WorkspaceView;
     readonly classView: ClassView;
     readonly pool: PoolId;
     readonly method: string;
-    /** Path and query below the service's own root. */
+    /** Path and query relative to the service's root. */
     readonly path: string;
-    /** The headers that are sent on; no other header of the caller is. */
+    /** Headers to forward; no other header of the caller is forwarded. */
     readonly headers: HeaderList;
     readonly body: Uint8Array;
-    /** Names the call by its content. */
+    /** Identifies the call by its content. */
     readonly fingerprint: RequestFingerprint;
     /** Set for a call that must not run twice. */
     readonly call?: CallIdentity;
 }
 
-/** Methods that a plain service may run any number of times, by HTTP's own definition. */
+/** Methods that HTTP defines as safe, which a service may run any number of times. */
 const SAFE_METHODS: readonly string[] = ["GET", "HEAD", "OPTIONS"];
 const METHODS: readonly string[] = [...SAFE_METHODS, "POST", "PUT", "PATCH", "DELETE"];
 const FORWARDED_HEADERS: readonly string[] = ["content-type", "accept", "accept-language"];
 const IDEMPOTENCY_KEY_PATTERN = /^[\x21-\x7e]{1,200}$/;
 
-/** Reads and checks a service call: `/v1/services/<name>/<path>`. */
+/** Reads and validates a service call: `/v1/services/<name>/<path>`. */
 export async function prepareService(
     ctx: EntryContext,
     req: HttpRequest,
@@ -88,7 +88,7 @@
     }
 }
 
-/** The key is looked for in the body as sent and, for JSON, as its strings read. */
+/** Searches for the key in the body as sent and, for JSON, also with the strings unescaped. */
 function checkContent(bytes: Uint8Array, key: Admission["key"]): Either<CallerError, string> {
     const text = Buffer.from(bytes).toString("latin1");
     return refuseKeyInContent(text, key).chain(() => refuseKeyInContent(normalizeJson(text), key));
--- a/src/entry/probeUpstream/index.ts
+++ b/src/entry/probeUpstream/index.ts
@@ -1,23 +1,23 @@
 import { Address, Network } from "../../ports/index.js";
 
-/** How long one try may take, in milliseconds, and how many there are: a first packet may be lost. */
-const TRY_MS = 400;
-const TRIES = 3;
+/** Timeout of one connection attempt, in milliseconds, and the number of attempts: a first packet may be lost. */
+const CONNECT_TIMEOUT_MS = 400;
+const MAX_ATTEMPTS = 3;
 
-/** What an upstream's address shows: nobody listens, somebody does, or no answer comes. */
+/** Result of a probe: the connection is refused, it is accepted, or nothing answers. */
 export type ProbeFinding = "crashed" | "alive" | "unreachable";
 
 /**
- * Finds out whether an upstream has crashed, by a connection on which nothing is sent.
+ * Determines whether an upstream has crashed, by opening a connection on which nothing is sent.
  *
- * @param network - Of this host.
- * @param address - Where the upstream listens.
- * @returns `crashed` only where the host itself refuses the connection.
+ * @param network - Network of this host.
+ * @param address - Address at which the upstream listens.
+ * @returns `crashed` only where the upstream's host itself refuses the connection.
  * @example
  * const finding = await probeUpstream(network, grant.address);
  */
 export async function probeUpstream(network: Network, address: Address): Promise<ProbeFinding> {
-    for (let number = 0; number < TRIES; number++) {
+    for (let attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
         const finding = await connectOnce(network, address);
         if (finding !== "unreachable") return finding;
     }
@@ -25,7 +25,7 @@
 }
 
 async function connectOnce(network: Network, address: Address): Promise<ProbeFinding> {
-    const connected = await network.connect(address, TRY_MS);
+    const connected = await network.connect(address, CONNECT_TIMEOUT_MS);
     return connected.caseOf<ProbeFinding>({
         Left: ({ reason }) => reason === "refused" ? "crashed" : "unreachable",
         Right: connection => {
--- a/src/entry/probeUpstream/test.ts
+++ b/src/entry/probeUpstream/test.ts
@@ -14,11 +14,11 @@
         return clock.runUntil(probeUpstream(fabric.network(HERE), UPSTREAM), 10_000);
     }
 
-    it("finds that nobody listens", async () => {
+    it("reports a crash where nothing listens", async () => {
         assert.equal(await probe(), "crashed");
     });
 
-    it("finds an upstream that listens, and leaves no connection open", async () => {
+    it("reports an upstream that listens as alive, and leaves no connection open", async () => {
         const ends: Promise<unknown>[] = [];
         const listener = await fabric.network(UPSTREAM.host).listen(UPSTREAM, connection => {
             ends.push(connection.receive());
@@ -28,20 +28,20 @@
         await listener.close();
     });
 
-    it("takes an upstream behind a cut for unreachable, and one for crashed that a later try finds gone", async () => {
+    it("reports a partitioned upstream as unreachable, and as crashed where a later attempt is refused", async () => {
         fabric.isolate(HERE, [UPSTREAM.host], true);
         assert.equal(await probe(), "unreachable");
         clock.after(500, () => fabric.isolate(HERE, [UPSTREAM.host], false));
         assert.equal(await probe(), "crashed");
     });
 
-    it("does not take a fault of this host for a crash", async () => {
-        // Guards against an entry out of descriptors, or without a route, to which each upstream seems to have crashed.
+    it("does not report a fault of this host as a crash", async () => {
+        // To an entry that has run out of file descriptors or has no route, each upstream would otherwise seem to have crashed.
         const finding = await probeUpstream(new TcpNetwork(), { host: "255.255.255.255", port: 9 });
         assert.equal(finding, "unreachable");
     });
 
-    it("finds the same over TCP", async () => {
+    it("reports the same over TCP", async () => {
         const network = new TcpNetwork();
         const listener = await network.listen({ host: "127.0.0.1", port: 0 }, () => undefined);
         const { address } = listener;
--- a/src/entry/processAdmin/index.ts
+++ b/src/entry/processAdmin/index.ts
@@ -6,21 +6,23 @@
 import { KnownRequest, RequestRegistry } from "../../request/index.js";
 import { Upstream, UpstreamRegistry } from "../../upstream/index.js";
 
-/** Gives the rows of the histograms kept in a process. */
+/** Lists the histograms kept in a process. */
 export type HistogramSource = Pick<HistogramTable, "list">;
 
-/** What an entry's part of the operators' API works on. */
+/** Options of `ProcessAdmin`. */
 export interface ProcessAdminOptions {
     readonly clock: Clock;
     readonly registry: UpstreamRegistry;
     readonly local: LocalDispatcher;
     readonly requests: RequestRegistry;
     readonly histograms: HistogramSource;
+    /** Starts a planned stop. */
     readonly drain: () => void;
+    /** Stops the process immediately. */
     readonly stop: () => void;
 }
 
-/** Answers operators for one entry. */
+/** Implements the operators' API for one entry process. */
 export class ProcessAdmin extends EntryAdmin {
     constructor(private readonly options: ProcessAdminOptions) {
         super();
--- a/src/entry/queueHost/index.ts
+++ b/src/entry/queueHost/index.ts
@@ -4,10 +4,10 @@
 import { DEFAULT_ENTRY_LIMITS } from "../entryContext/index.js";
 import { EntryOptions, EntryProcess } from "../entryProcess/index.js";
 
-/** It sends no calls, so it repeats none. */
-const NO_REPEATS = { ratio: 0, windowMs: 1_000, slack: 0 };
+/** A queue host sends no calls and therefore needs no retry budget. */
+const NO_RETRIES = { ratio: 0, windowMs: 1_000, slack: 0 };
 
-/** What an entry takes that a queue host takes too. */
+/** Names of the entry options that a queue host has too. */
 type SharedOption =
     | "clock"
     | "random"
@@ -23,23 +23,23 @@
     | "registryTiming"
     | "windowMs";
 
-/** What a queue host is made of. */
+/** Options of `startQueueHost`. */
 export interface QueueHostOptions extends Pick<EntryOptions, SharedOption> {
-    /** Where entries reach it: the address of the control process on its host. */
+    /** Address at which entries reach it: that of the control process on the same host. */
     readonly peers: Address;
-    /** That control process' router, which gets the methods of the queues. */
+    /** Peer router of that control process, to which the queues' methods are added. */
     readonly sharedRouter: PeerRouter;
     readonly dialect: CallDialect;
 }
 
 /**
- * Starts what owns the queues of routed pools on a host that serves no callers.
+ * Starts an entry process that owns the queues of routed pools on a control process's host and serves no callers.
  *
- * Answers fleets of many small entries: the tickets of all of them meet at the owner of a pool, more than the link and the processor of one
- * entry bear. Hosts of control processes are few and larger, and are reached from everywhere anyway.
+ * In a fleet of many small entries, the tickets of all entries go to the owner of a pool, which exceeds the network and processor
+ * capacity of one entry. Hosts of control processes are few and larger, and all entries are connected to them anyway.
  *
- * @param options - Where it runs, and the control processes that it follows.
- * @returns The process; ending it hands the queues over.
+ * @param options - Ports, addresses and control processes.
+ * @returns The process; when it ends, its queues are handed over.
  * @example
  * const queues = await startQueueHost({ ...ports, peers, sharedRouter: control.router, controlPeers, dialect, ...rest });
  */
@@ -51,6 +51,6 @@
         callerLimits: DEFAULT_HTTP_LIMITS,
         limits: DEFAULT_ENTRY_LIMITS,
         balancerMs: 0,
-        routes: { dialect, repeats: NO_REPEATS, startsWindowMs: windowMs },
+        routes: { dialect, repeats: NO_RETRIES, startsWindowMs: windowMs },
     });
 }
--- a/src/entry/readKey/index.ts
+++ b/src/entry/readKey/index.ts
@@ -4,23 +4,24 @@
 import { hashKey } from "../../workspace/index.js";
 import { CallerError } from "../callerError/index.js";
 
-/** The form of a key: `sqx_` and 32 hex digits. */
+/** Format of a key: `sqx_` and 32 hex digits. */
 const KEY_PATTERN = /sqx_[0-9a-f]{32}/i;
 const BEARER_PATTERN = /^Bearer[ ]+(sqx_[0-9a-f]{32})$/i;
 
-/** A key as a caller presented it. Never logged, never sent on. */
+/** A key as a caller presented it. It must never be logged or forwarded. */
 export interface PresentedKey {
     readonly text: string;
     readonly hash: KeyHash;
 }
 
 /**
- * Reads the key from `Authorization: Bearer …`, the only place where it may stand.
+ * Reads the key from `Authorization: Bearer …`, the only place where it may be sent.
  *
- * @returns The key, or 401 without one, 400 where one stands in the path, in the query or twice.
+ * @returns The key; an error with status 401 without a key, and 400 where one is in the path or the query or there are several
+ * Authorization headers.
  */
 export function readKey(req: HttpRequest): Either<CallerError, PresentedKey> {
-    if (hasKey(req.path)) return Left(misplacedKey("path or query"));
+    if (containsKey(req.path)) return Left(misplacedKeyError("path or query"));
     const given = req.headers.filter(([name]) => name === "authorization");
     if (given.length > 1) return Left(new CallerError(400, "key-ambiguous", "more than one Authorization header"));
     const match = BEARER_PATTERN.exec(findHeader(req.headers, "authorization")?.trim() ?? "");
@@ -30,28 +31,28 @@
 }
 
 /**
- * Refuses content that carries the caller's key.
+ * Refuses content that contains the caller's key.
  *
- * Guards against a key that leaks to an upstream inside a body: a client library that copies its settings into the
- * request does this unnoticed. Headers need no such check, since only listed ones are sent on.
+ * Prevents a key from leaking to an upstream in a body, as happens unnoticed with a client library that copies its settings
+ * into the request. Headers need no such check, since only listed ones are forwarded.
  *
- * @param content - What would be sent to an upstream.
+ * @param content - Content that would be sent to an upstream.
  */
 export function refuseKeyInContent(content: string, key: PresentedKey): Either<CallerError, string> {
     const lower = content.toLowerCase();
-    if (lower.includes(key.text) || decodePercent(lower).includes(key.text)) return Left(misplacedKey("body"));
+    if (lower.includes(key.text) || decodePercent(lower).includes(key.text)) return Left(misplacedKeyError("body"));
     return Right(content);
 }
 
-function hasKey(text: string): boolean {
+function containsKey(text: string): boolean {
     return KEY_PATTERN.test(text) || KEY_PATTERN.test(decodePercent(text));
 }
 
-function misplacedKey(place: string): CallerError {
+function misplacedKeyError(place: string): CallerError {
     return new CallerError(400, "key-misplaced", `a key stands in the ${place}; withdraw it, it may have been logged`);
 }
 
-/** Decodes `%xx` twice over, leaving what is no such code alone. */
+/** Decodes percent-encoding twice; leaves invalid sequences unchanged. */
 function decodePercent(text: string): string {
     const decode = (part: string): string =>
         part.replace(/%([0-9a-f]{2})/gi, (_, hex) => String.fromCharCode(parseInt(hex, 16)));
--- a/src/entry/noteLimit/index.ts
+++ b/src/entry/reportRequestLimit/index.ts
@@ -5,8 +5,8 @@
 import { REQUEST_LIMIT_HEADER } from "../../protocol/index.js";
 import { EntryContext } from "../entryContext/index.js";
 
-/** Tells the dispatcher how many requests an upstream takes, by the head of its answer to a chat or a service call. */
-export function noteLimit(
+/** Passes the request limit in the headers of an upstream's answer to the dispatcher. */
+export function reportRequestLimit(
     { dispatcher, logger }: EntryContext,
     pool: PoolId,
     { upstream, request }: Grant,
--- a/src/entry/requestErrors/index.ts
+++ b/src/entry/requestErrors/index.ts
@@ -5,7 +5,7 @@
 
 const RETRY_AFTER_FAILURE_MS = 1_000;
 
-/** The error of a chat or a service call that was stopped from outside. */
+/** Creates the error of a request that was cancelled: key withdrawn, host stopping, or caller disconnected. */
 export function makeCancelError(reason: CancelReason, outcome: Outcome): CallerError {
     if (reason === "key-withdrawn") {
         return new CallerError(401, reason, "the key was withdrawn while the request was under way", outcome);
@@ -14,18 +14,18 @@
     return new CallerError(503, reason, message, outcome, RETRY_AFTER_FAILURE_MS);
 }
 
-/** The error of a chat that the engine finds wrong in itself. */
+/** Creates the error of a chat that the engine rejects as invalid. */
 export function makeRejectionError(err: EngineStreamError): CallerError {
     const message = `the engine does not take this request (${err.message})`;
     return new CallerError(400, "upstream-rejected", message, "partly-run");
 }
 
-/** The error of a chat or a service call after the last attempt that it may have. */
+/** Creates the error of a request whose last permitted attempt failed. */
 export function makeUpstreamError(attempts: number, outcome: Outcome): CallerError {
     return new CallerError(502, "upstream-failed", `${attempts} upstreams failed`, outcome, RETRY_AFTER_FAILURE_MS);
 }
 
-/** The error of a chat or a service call whose content crashes upstreams. */
+/** Creates the error of a request whose content is quarantined because it crashes upstreams. */
 export function makeQuarantineError(leftMs: number, outcome: Outcome): CallerError {
     const message = "requests with this content crash upstreams, and are quarantined for a while";
     return new CallerError(503, "quarantined", message, outcome, leftMs);
--- a/src/entry/limitExchange/index.ts
+++ b/src/entry/requestLimitExchange/index.ts
@@ -7,61 +7,62 @@
 import { PeerDirectory } from "../peerDirectory/index.js";
 import { DISPATCH_METHODS, LimitNotice } from "../ticketServer/index.js";
 
-/** What the exchange works with. */
-export interface LimitExchangeOptions {
+/** Options of `RequestLimitExchange`. */
+export interface RequestLimitExchangeOptions {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly metrics: Metrics;
     readonly self: HostId;
     readonly directory: Pick<PeerDirectory, "linkTo">;
     readonly local: Pick<LocalDispatcher, "noteLimit">;
+    /** Returns the owner of a pool's queue. */
     readonly ownerOf: (pool: PoolId) => HostId;
 }
 
 /**
- * Passes on how many requests upstreams take from all hosts together: answers tell this host, this host tells whoever decides, and grants tell this
- * host what others were told.
+ * Shares the request limits that upstreams set for all hosts together. Upstreams' answers report limits to this host, which reports them to
+ * the owners of the queues; grants bring this host the limits that other hosts received.
  *
  * @example
- * exchange.noteAnswer(pool, upstream, 2.5);
+ * exchange.recordAnswer(pool, upstream, 2.5);
  * const limits = exchange.list(pool);
  */
-export class LimitExchange {
+export class RequestLimitExchange {
     private readonly limits: RequestLimits;
 
-    constructor(private readonly options: LimitExchangeOptions) {
+    constructor(private readonly options: RequestLimitExchangeOptions) {
         this.limits = new RequestLimits(options.clock);
     }
 
-    /** Told what an answer says; tells the owner of the pool's queue if it is news. */
-    noteAnswer(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined): void {
+    /** Records the limit in an upstream's answer, and reports a change to the owner of the pool's queue. */
+    recordAnswer(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined): void {
         const { self, local, directory, ownerOf } = this.options;
-        if (!this.learn(pool, upstream, perSecond, 0)) return;
+        if (!this.record(pool, upstream, perSecond, 0)) return;
         local.noteLimit(pool, upstream, perSecond);
         const owner = ownerOf(pool);
         const notice: LimitNotice = { pool, upstream, perSecond };
         if (owner !== self) directory.linkTo(owner)?.notify(DISPATCH_METHODS.limit, notice);
     }
 
-    /** Told what a grant says. */
-    noteGrant(pool: PoolId, { upstream, limit }: Grant): void {
+    /** Records the limit in a grant. */
+    recordGrant(pool: PoolId, { upstream, limit }: Grant): void {
         if (!limit) return;
         this.options.metrics.count("grants_limited", 1, { pool });
-        this.learn(pool, upstream, limit.perSecond, limit.ageMs);
+        this.record(pool, upstream, limit.perSecond, limit.ageMs);
     }
 
-    /** What this host knows of a pool's upstreams. */
+    /** Lists the known limits of a pool's upstreams. */
     list(pool: PoolId): readonly RequestLimit[] {
         return this.limits.list(pool);
     }
 
-    /** Forgets what an upstream that has ended said of itself. */
+    /** Drops the limits of an upstream that has ended. */
     forget(upstream: UpstreamId): void {
         this.limits.forget(upstream);
     }
 
-    /** @returns Whether that was not known. */
-    private learn(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs: number): boolean {
+    /** @returns Whether the limit is a change. */
+    private record(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs: number): boolean {
         const { logger, metrics } = this.options;
         const change = this.limits.note(pool, upstream, perSecond, ageMs);
         if (!change) return false;
--- a/src/entry/routeService/index.ts
+++ b/src/entry/routeService/index.ts
@@ -15,26 +15,26 @@
 import { StartMeter } from "../../usage/index.js";
 import { PeerChannel, PeerIdentity, PeerRouter } from "../../wire/index.js";
 import { FleetRouteView } from "../fleetRouteView/index.js";
-import { StartsSender } from "../startsSender/index.js";
+import { StartCountReporter } from "../startCountReporter/index.js";
 
-/** The most header bytes that the listener reads at all; the document's own bound is checked for each call. */
-const MOST_HEADER_BYTES = 64 * 1024;
-/** What an upstream says of itself that gets no more work. */
+/** Maximum size of headers that the listener reads, in bytes; the fleet document's own limit is checked for each call. */
+const MAX_HEADER_BYTES = 64 * 1024;
+/** Announced states in which an upstream gets no more work. */
 const LEAVING_STATES: readonly (UpstreamState | undefined)[] = ["leaving", "gone"];
-/** How long a body may take, in milliseconds. */
+/** Timeout for receiving a request's body, in milliseconds. */
 const BODY_TIMEOUT_MS = 30_000;
 
-/** How an entry serves calls that are routed by the fleet document. */
+/** Settings for serving calls that are routed by the fleet document. */
 export interface RouteServiceSettings {
-    /** Where callers are served; undefined: nowhere. */
+    /** Address at which callers are served; undefined: not served. */
     readonly callers?: Address;
     readonly dialect: CallDialect;
     readonly repeats: RepeatLimits;
-    /** The length of the windows in which started requests are counted, in milliseconds. */
+    /** Length of the windows in which request starts are counted, in milliseconds. */
     readonly startsWindowMs: number;
 }
 
-/** What the service is made of. */
+/** Options of `RouteService`. */
 export interface RouteServiceOptions {
     readonly settings: RouteServiceSettings;
     readonly clock: Clock;
@@ -49,55 +49,57 @@
     readonly requests: RequestRegistry;
     readonly dispatcher: Dispatcher;
     readonly crashes: CrashGuard;
-    /** Learns from the control processes. */
+    /** Clock that is synchronized with the control processes. */
     readonly time: TrueTime;
     readonly isDraining: () => boolean;
-    /** What is needed of upstreams' news. */
+    /** Returns the level of detail needed in announcements of upstreams. */
     readonly levelNeeded: () => UpdateLevel;
 }
 
 /**
- * An entry's part in routed calls: hears of upstreams from the control processes, serves callers, counts started requests.
+ * Serves calls routed by the fleet document: subscribes to upstreams' announcements at the control processes, serves callers, and counts
+ * request starts.
  *
  * @example
  * const service = new RouteService(options);
  * await service.start(client, cache, links, lifecycle);
  */
 export class RouteService {
-    private readonly starts: StartMeter;
+    private readonly startMeter: StartMeter;
     private readonly subscriber: AnnouncementSubscriber;
     private view: FleetRouteView | undefined;
     private listener: HttpListener | undefined;
-    private limitsOf = -1;
-    private sender: StartsSender | undefined;
+    /** Version of the document whose caller limits are in force. */
+    private limitsVersion = -1;
+    private startReporter: StartCountReporter | undefined;
 
     constructor(private readonly options: RouteServiceOptions) {
         const { settings, time } = options;
-        this.starts = new StartMeter(settings.startsWindowMs);
+        this.startMeter = new StartMeter(settings.startsWindowMs);
         this.subscriber = new AnnouncementSubscriber({
             ...options,
             onWallTime: (host, wallMs) => time.learn(host, wallMs),
         });
     }
 
-    /** Whether callers can be served: there is a fresh document, and upstreams are heard of. */
+    /** Whether callers can be served: there is a fresh document, and at least one publisher of announcements is subscribed to. */
     get isReady(): boolean {
         const hasView = this.view !== undefined && this.view.isFresh() && this.view.routes() !== undefined;
         return hasView && this.subscriber.publisherCount > 0 && this.listener !== undefined
             && !this.options.isDraining();
     }
 
-    /** How many entries serve callers, as far as is known. */
+    /** Number of entries known to serve callers. */
     get entryCount(): number {
         return this.view?.entryCount() ?? 1;
     }
 
-    /** Follows the control process at the other end of a channel. */
-    follow(channel: PeerChannel): void {
+    /** Subscribes to the announcements of the control process at the other end of a channel. */
+    subscribeTo(channel: PeerChannel): void {
         void this.subscriber.subscribe(channel);
     }
 
-    /** Follows upstreams' news and opens the callers' port, if there is one. */
+    /** Starts following announcements, and opens the callers' port if the settings name one. */
     async start(client: ControlClient, cache: ViewCache, links: ControlLinkSet, lifecycle: Lifecycle): Promise<void> {
         const { settings, clock, logger } = this.options;
         const onError = (err: unknown): void => logger.error("task-failed", { problem: String(err) });
@@ -106,17 +108,17 @@
         this.view = view;
         if (!settings.callers) return;
         await this.openCallers(settings.callers, view, lifecycle);
-        this.sender = new StartsSender({
+        this.startReporter = new StartCountReporter({
             ...this.options,
-            meter: this.starts,
+            meter: this.startMeter,
             links: links.list,
             holderLink: () => client.holderLink,
         });
-        lifecycle.run(signal => this.sender!.run(signal), onError);
+        lifecycle.run(signal => this.startReporter!.run(signal), onError);
         logger.info("routes-served", { callers: formatAddress(settings.callers) });
     }
 
-    /** Calls that come before there is a document wait for it a while. */
+    /** Opens the callers' port. Calls that arrive before the first document wait for it for a limited time. */
     private async openCallers(callers: Address, view: FleetRouteView, lifecycle: Lifecycle): Promise<void> {
         const { settings, http, self, clock, registry } = this.options;
         const handler = serveCalls({
@@ -125,7 +127,7 @@
             dialect: settings.dialect,
             view,
             repeats: new RepeatBudget(clock, settings.repeats),
-            starts: this.starts,
+            starts: this.startMeter,
             mayNotSendTo: id => {
                 const upstream = registry.get(id);
                 return LEAVING_STATES.includes(upstream?.state) || upstream?.isZoneEvacuated === true;
@@ -136,27 +138,27 @@
         lifecycle.own(() => listener.close());
     }
 
-    /** Takes over the limits of a document that has just come into force. */
+    /** Called when the view has changed; applies the caller limits of a new document. */
     viewChanged(): void {
-        this.view?.noteChange();
+        this.view?.notifyChange();
         const routes = this.view?.routes();
-        if (!routes || routes.version === this.limitsOf) return;
-        this.limitsOf = routes.version;
+        if (!routes || routes.version === this.limitsVersion) return;
+        this.limitsVersion = routes.version;
         this.listener?.setLimits(toHttpLimits(routes.limits));
         this.options.logger.info("document-in-force", { version: routes.version });
     }
 
-    /** Takes no more connections; answers under way go on. */
+    /** Stops accepting connections; running answers continue. */
     async stopAccepting(): Promise<void> {
         await this.listener?.stopAccepting();
     }
 
-    /** Hands over what was counted, before the process ends. */
+    /** Sends the final counts of request starts before the process ends. */
     flushStarts(): void {
-        this.sender?.sendOnce(true);
+        this.startReporter?.sendToAll(true);
     }
 }
 
 function toHttpLimits({ headerTimeoutMs, idleTimeoutMs }: CallerLimits): HttpLimits {
-    return { headerBytes: MOST_HEADER_BYTES, headerTimeoutMs, requestTimeoutMs: BODY_TIMEOUT_MS, idleTimeoutMs };
+    return { headerBytes: MAX_HEADER_BYTES, headerTimeoutMs, requestTimeoutMs: BODY_TIMEOUT_MS, idleTimeoutMs };
 }
--- a/src/entry/routeService/test.ts
+++ b/src/entry/routeService/test.ts
@@ -42,12 +42,13 @@
         await fleet.start(makeDocument());
     }
 
-    /** What all upstreams together have run of a call. */
+    /** Counts how often a call ran, on all upstreams together. */
     function countRuns(request: string): number {
         return fleet.upstreams.flatMap(({ runs }) => runs).filter(run => run.request === request).length;
     }
 
-    function spoilAll(fault: "lost" | "error" | "refuse" | "break" | "crossed"): void {
+    /** Makes the next call to each upstream fail. */
+    function injectFault(fault: "lost" | "error" | "refuse" | "break" | "crossed"): void {
         for (const upstream of fleet.upstreams) upstream.faults.push(fault);
     }
 
@@ -77,10 +78,10 @@
         assert.equal(await statusOf("/open/1"), 200);
     });
 
-    describe("an entry that starts while a control process leads that is no seed", () => {
-        it("finds it through any other", async () => {
-            // After a power cut nobody is served, though all processes run. Entries know three control processes from their
-            // settings; a fourth was elected, the three say that they do not lead, and name a host that no entry has a link to.
+    describe("an entry that starts while the control lease is held by a process that is not a seed", () => {
+        it("discovers the holder through any other control process", async () => {
+            // Failure: after a power cut no caller is served, though all processes run. Entries know three control processes from
+            // their settings, a fourth was elected, and the three redirect to a host to which no entry has a link.
             await startFleet();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
             await fleet.killEntry(0);
@@ -97,13 +98,12 @@
         });
     });
 
-    describe("a call that comes before the first document", () => {
+    describe("a call that arrives before the first document", () => {
         const PATIENT: HeaderList = [["x-sequoiamux-deadline-ms", "4000"]];
 
-        it("waits for it where all processes have just restarted", async () => {
-            // After a loss of power callers come back once and get a refusal, though everything works a moment later.
-            // The entry accepts connections before the control processes have elected a holder.
-            // Cause: a call without a document is refused at once.
+        it("waits for the document where all processes have just restarted", async () => {
+            // Failure: after a power loss, callers that retry once are refused, though everything works shortly afterwards. The entry
+            // accepts connections before the control processes have elected a holder, and refuses calls without a document.
             await startFleet();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
             await fleet.killEntry(0);
@@ -113,7 +113,7 @@
             assert.equal(reply.status, 200);
         });
 
-        it("is refused with a time to come back after a third of its caller's time", async () => {
+        it("is refused with a retry time after a third of its deadline", async () => {
             await startFleet();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
             await fleet.killEntry(0);
@@ -126,7 +126,7 @@
             assert.equal(countRuns("early"), 0);
         });
 
-        it("is refused at once by an entry that had one and has lost touch", async () => {
+        it("is refused immediately by an entry that had a document and has lost contact with control", async () => {
             await startFleet();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
             await fleet.pass(10_000);
@@ -137,11 +137,11 @@
     });
 
     describe("a call that runs once at most", () => {
-        it("is not sent again after a lost answer, and its caller is told at once", async () => {
-            // A customer is charged twice. The ledger runs an order and its answer is lost; the entry sends the order on to the
-            // next ledger, since no answer looks like no run.
+        it("is not resent after a lost answer, and its caller gets an error immediately", async () => {
+            // Failure: a customer is charged twice. The ledger runs an order and its answer is lost; the entry takes the order for not
+            // run and sends it to the next ledger.
             await startFleet();
-            spoilAll("lost");
+            injectFault("lost");
             const reply = await fleet.call({ entry: 0, path: "/orders/1", key: KEY, request: "roast" });
             assert.equal(reply.status, 502);
             assert.equal(countRuns("roast"), 1);
@@ -149,7 +149,7 @@
             assert.equal(findHeader(reply.headers, CALL_HEADERS.notRun), undefined);
         });
 
-        it("goes to another upstream that has not refused it", async () => {
+        it("goes to another upstream after a refusal", async () => {
             await startFleet();
             await fleet.pass(10_000);
             fleet.upstreams[0].faults.push("refuse");
@@ -158,16 +158,16 @@
             assert.deepEqual(settled.map(({ status }) => status), [200, 200]);
         });
 
-        it("passes the upstream's own failure on as it is", async () => {
+        it("passes the upstream's own error on unchanged", async () => {
             await startFleet();
-            spoilAll("error");
+            injectFault("error");
             const reply = await fleet.call({ entry: 0, path: "/orders/1", key: KEY, request: "roast" });
             assert.deepEqual([reply.status, countRuns("roast")], [500, 1]);
             assert.match(reply.body, /^failed by upstream-/);
         });
     });
 
-    describe("a call that may be repeated", () => {
+    describe("a repeatable call", () => {
         for (const fault of ["lost", "error", "crossed"] as const) {
             it(`goes to another upstream after an answer that is ${fault}`, async () => {
                 await startFleet();
@@ -179,11 +179,11 @@
             });
         }
 
-        it("is not said not to have run where its key is withdrawn between two attempts", async () => {
-            // Guards against a refusal that promises that nothing ran, sent after a first upstream has run the call.
+        it("is not reported as not run where its key is withdrawn between two attempts", async () => {
+            // Otherwise the refusal would state that nothing ran, though the first upstream has run the call.
             await startFleet({ upstreams: [{ workMs: 400 }, { workMs: 400 }] });
             await fleet.pass(10_000);
-            spoilAll("lost");
+            injectFault("lost");
             const pending = fleet.startCall({ entry: 0, path: "/status/1", key: KEY, request: "look" });
             await fleet.pass(100);
             await fleet.replace(makeDocument(2, { workspaces: [{ workspace: "butcher", keys: ["another-key"] }] }));
@@ -198,28 +198,27 @@
         const STREAMS = [{ events: 6 }, { events: 6 }];
         const WHOLE = Array.from({ length: 6 }, (_, at) => `id: ${at + 1}\ndata: event ${at + 1}\n\n`).join("");
 
-        it("come whole", async () => {
+        it("arrive complete", async () => {
             await startFleet({ upstreams: STREAMS });
             const reply = await fleet.call({ entry: 0, path: "/sheets/1", key: KEY });
             assert.deepEqual([reply.status, reply.body, reply.isWhole], [200, WHOLE, true]);
         });
 
-        it("go on at another upstream where they may, without a gap and without a piece twice", async () => {
-            // A caller sees half a summary twice, or one with a hole. The engine breaks off within an event, and the next one goes
-            // on behind the last event that it was told.
+        it("resume at another upstream where permitted, without a gap or a duplicate", async () => {
+            // Failure: a caller receives half a summary twice, or one with a gap. The engine breaks off within an event, and the next one
+            // resumes after the last event id that it was sent.
             await startFleet({ upstreams: STREAMS });
             await fleet.pass(10_000);
-            spoilAll("break");
+            injectFault("break");
             const reply = await fleet.call({ entry: 0, path: "/notes/1", key: KEY });
             assert.equal(reply.isWhole, false);
             const second = await fleet.call({ entry: 0, path: "/notes/2", key: KEY });
             assert.deepEqual([second.body, second.isWhole], [WHOLE, true]);
         });
 
-        it("are cut where the engine that should go on fails, whichever breaks off", async () => {
-            // An engine crashes while a brief streams from it, and the brief goes on at another one, which answers with a failure of its own.
-            // The caller got that failure's text as the end of the stream, and the half of a brief passed for the whole.
-            // Cause: an answer that is no stream was passed on into whatever the caller had so far.
+        it("are cut where the engine that should resume fails, whichever engine breaks off", async () => {
+            // Failure: a caller takes half of a brief for the whole. An engine crashes while it streams, the engine that should resume
+            // answers with an error, and the text of that error is appended to the stream, though the answer is not a stream.
             await startFleet({ upstreams: STREAMS });
             await fleet.pass(10_000);
             for (const [breaking, failing] of [[0, 1], [1, 0]]) {
@@ -232,14 +231,14 @@
             }
         });
 
-        it("are cut where they may not, so that nobody takes a part for the whole", async () => {
+        it("are cut where they may not be resumed, so that a caller does not take a part for the whole", async () => {
             await startFleet({ upstreams: STREAMS });
-            spoilAll("break");
+            injectFault("break");
             const reply = await fleet.call({ entry: 0, path: "/sheets/1", key: KEY, request: "sheet" });
             assert.deepEqual([reply.isWhole, countRuns("sheet")], [false, 1]);
         });
 
-        it("end at the upstream soon after their caller has left", async () => {
+        it("end at the upstream soon after their caller has disconnected", async () => {
             await startFleet({ upstreams: [{ events: 1_000 }] });
             const leave = new AbortController();
             const pending = fleet.startCall({ entry: 0, path: "/sheets/1", key: KEY, signal: leave.signal });
@@ -257,17 +256,16 @@
         });
     });
 
-    describe("prompts whose parts an engine holds", () => {
+    describe("prompts whose parts are in an engine's cache", () => {
         const PROMPTS = Array.from(
             { length: 8 },
             (_, at) => [{ id: `shared${at}`, tokens: 9_000 }, { id: `own${at}`, tokens: 500 }],
         );
         const ENGINE = { kvTokens: 1_000_000, kvBytes: 1, tokensPerEvent: 1, pinMs: 0, canMove: false };
 
-        it("go there though the queue's owner has never sent one", async () => {
-            // Questions wait behind long documents for seconds after all entries were restarted, since the engines read again
-            // what their neighbours have in memory.
-            // Cause: the new owner of the queue knows nothing of what the one before it had sent where.
+        it("go to that engine though the queue's owner has never sent them there", async () => {
+            // Failure: after a restart of all entries, short prompts wait behind long documents for seconds. Engines prefill again what
+            // other engines have in their caches, since the new owner of the queue does not know what was sent where before.
             fleet = new RoutedFleet({ upstreams: [{}, { holds: PROMPTS.flat() }] });
             await fleet.start(makeDocument(1, { pools: [{ pool: "ledger", connections: 100, engine: ENGINE }] }));
             for (const parts of PROMPTS) {
@@ -279,11 +277,11 @@
         });
     });
 
-    describe("the owner of a queue that is silent for a moment", () => {
-        it("does not count what others then took over and ended", async () => {
-            // After a short pause of one host engines stand idle, one after the other, and the rest is overloaded until callers give up.
-            // An entry hands its running calls to the next owner of the queue, and they end there; then the first owner is back.
-            // Cause: the first owner never hears that they have ended, and takes their engines for full, or for silent.
+    describe("the owner of a queue that is briefly unresponsive", () => {
+        it("does not count calls that were reassigned and completed meanwhile", async () => {
+            // Failure: after a short pause of one host, engines become idle one after another, and the others are overloaded until callers
+            // give up. An entry reassigns its running calls to the next owner of the queue, and they end there; the first owner, once back,
+            // never learns that they have ended, and takes their engines for full or unresponsive.
             const POOL = "ledger" as PoolId;
             await startFleet({ entries: 3, upstreams: [{ workMs: 400, slots: 16 }, { workMs: 400, slots: 16 }] });
             const [first] = fleet.entries;
@@ -305,7 +303,7 @@
     });
 
     describe("time", () => {
-        it("ends each call when its route's time is over, at once", async () => {
+        it("ends each call as soon as its route's timeout expires", async () => {
             await startFleet({ upstreams: [{ workMs: 60_000 }] });
             const reply = await fleet.call({ entry: 0, path: "/orders/1", key: KEY });
             assert.equal(reply.status, 504);
@@ -314,9 +312,9 @@
     });
 
     describe("keys", () => {
-        it("are refused everywhere soon after they were withdrawn, also at an entry that is cut off", async () => {
-            // A key is withdrawn from a caller that is still connected. One entry is cut off from all control processes at that
-            // moment and can't hear of it; it must stop taking keys by itself.
+        it("are refused everywhere soon after they are withdrawn, also at an entry that is cut off", async () => {
+            // A key is withdrawn from a caller that is still connected. One entry is cut off from all control processes at that time and
+            // does not learn of it, so it must stop accepting keys on its own.
             await startFleet();
             fleet.fabric.isolate("10.0.1.1", [1, 2, 3, 4, 5].map(number => `10.0.0.${number}`), true);
             assert.equal(await fleet.replace(makeDocument(2, { workspaces: [] }), 1), true);
@@ -328,9 +326,9 @@
     });
 
     describe("leaving upstreams", () => {
-        it("get no more work once a control process has taken their word, whichever is lost then", async () => {
-            // An engine says that it leaves, gets its acknowledgement, and the control process that gave it is lost in the next
-            // moment. Entries that it had not told go on sending to an engine that is about to end.
+        it("get no more work once a control process has acknowledged that they leave, whichever process is lost then", async () => {
+            // Failure: an engine announces that it leaves and gets an acknowledgement, and the control process that sent it is lost
+            // immediately afterwards. Entries that it had not notified continue to send to an engine that is about to end.
             await startFleet();
             assert.equal(await fleet.announce(0, "leaving", 4), true);
             await fleet.killControl(4);
@@ -340,11 +338,10 @@
             }
         });
 
-        it("get no more work though the owner of the queue is cut off from control and has not heard", async () => {
-            // An engine is told that it may end soon, and still gets calls seconds later.
-            // The entry that owns the pool's queue is cut off from all control processes; others, which have heard that the engine
-            // leaves, ask it for an upstream and are granted that one.
-            // Cause: whoever sends a call does not look at what it knows itself of the upstream.
+        it("get no more work though the owner of the queue is cut off from control and does not know that they leave", async () => {
+            // Failure: an engine that was given notice still gets calls seconds later. The entry that owns the pool's queue is cut off from
+            // all control processes and grants that engine to other entries; these know that the engine leaves, but do not check the
+            // grant against what they know of the upstream.
             await startFleet({ entries: 3 });
             const [first] = fleet.entries;
             const owner = [0, 1, 2].find(number =>
@@ -360,7 +357,7 @@
             }
         });
 
-        it("are told to go elsewhere by a control process that reaches nobody", async () => {
+        it("are refused by a control process that can reach no other process", async () => {
             await startFleet();
             const others = [1, 2, 3, 4].map(number => `10.0.0.${number}`).concat(["10.0.1.1", "10.0.1.2"]);
             fleet.fabric.isolate("10.0.0.5", others, true);
@@ -368,7 +365,7 @@
         });
     });
 
-    describe("whose queues control hosts own", () => {
+    describe("with queues owned by control hosts", () => {
         const POOL = "ledger" as PoolId;
         const OPEN = { path: "/open/1", method: "GET" };
 
@@ -376,7 +373,7 @@
             await startFleet({ entries, queueHosts: true });
         }
 
-        it("are granted there by one owner, and by no entry", async () => {
+        it("are granted by one owner on a control host, and by no entry", async () => {
             await startOwned();
             const owners = [0, 1, 2].map(entry => fleet.queueOwner(POOL, entry));
             assert.ok(owners[0] >= 0);
@@ -386,8 +383,8 @@
             assert.deepEqual(fleet.queues.flatMap(queues => queues!.local.pools()), [POOL]);
         });
 
-        it("are served within the owner's patience when it freezes, and at once from then on", async () => {
-            // An owner's machine is frozen: its connections are open, and nothing comes from it. Each call may wait for it once.
+        it("are served within the owner's reply timeout when it freezes, and without delay from then on", async () => {
+            // An owner's machine is frozen: its connections stay open, and it sends nothing. Each call may wait for it once.
             await startOwned();
             await fleet.call({ ...OPEN, entry: 0 });
             fleet.cutControl(fleet.queueOwner(POOL), true);
@@ -410,7 +407,7 @@
         });
 
         it("are owned by an entry while no control host answers, and by a control host again after that", async () => {
-            // All control processes are killed at once and are back seconds later. Calls that need no key go on meanwhile, in one queue.
+            // All control processes are killed at once and restarted seconds later. Calls that need no key continue meanwhile, in one queue.
             await startOwned();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
             await fleet.pass(500);
@@ -422,7 +419,7 @@
             assert.equal((await fleet.call({ ...OPEN, entry: 1 })).status, 200);
         });
 
-        it("share their repeats among entries alone", async () => {
+        it("share the retry budget among entries only", async () => {
             await startOwned(2);
             assert.equal(fleet.entries[0]!.control.entries().length, 7);
             assert.equal(fleet.entries[0]!.routes!.entryCount, 2);
--- a/src/entry/runChat/index.ts
+++ b/src/entry/runChat/index.ts
@@ -4,22 +4,22 @@
 import { RunningRequest } from "../../request/index.js";
 import { CallerError } from "../callerError/index.js";
 import { ChatSink } from "../chatSink/index.js";
-import { EngineEnd, EngineStreamError } from "../engineStream/index.js";
+import { EngineStreamEnd, EngineStreamError } from "../engineStream/index.js";
 import { EntryContext } from "../entryContext/index.js";
 import { PreparedChat } from "../prepareChat/index.js";
-import { toRefusalError } from "../refusalError/index.js";
 import { makeCancelError, makeQuarantineError, makeRejectionError, makeUpstreamError } from "../requestErrors/index.js";
 import { ChatAttempt, sendChat } from "../sendChat/index.js";
+import { toRefusalError } from "../toRefusalError/index.js";
 
-/** How a chat ended. */
-export interface ChatEnd {
+/** Result of a chat. */
+export interface ChatResult {
     readonly outcome: Outcome;
-    /** Prompt and completion tokens that its workspace is billed for. */
+    /** Number of prompt and completion tokens billed to the workspace. */
     readonly billedTokens: number;
 }
 
-/** What a chat is run with. */
-export interface ChatParts {
+/** Options of `runChat`. */
+export interface ChatOptions {
     readonly ctx: EntryContext;
     readonly prepared: PreparedChat;
     readonly run: RunningRequest;
@@ -29,64 +29,65 @@
 }
 
 /**
- * Brings a chat to its final answer: waits for a grant, streams from the upstream, and after a failure, a stall or a
- * preemption goes on elsewhere with the next token.
+ * Runs a chat to its final answer: waits for a grant, streams from the upstream, and after a failure, a stall or a
+ * preemption continues on another upstream with the next token.
  *
  * @example
  * const { outcome } = await runChat({ ctx, prepared, run, sink, self });
  */
-export function runChat(parts: ChatParts): Promise<ChatEnd> {
-    return new ChatTask(parts).run();
+export function runChat(options: ChatOptions): Promise<ChatResult> {
+    return new ChatTask(options).run();
 }
 
 class ChatTask {
+    /** Upstreams that failed this chat. */
     private readonly avoid: UpstreamId[] = [];
-    private attempts = 0;
+    private attemptCount = 0;
     private mayHaveRun = false;
 
-    constructor(private readonly parts: ChatParts) {}
+    constructor(private readonly options: ChatOptions) {}
 
-    async run(): Promise<ChatEnd> {
-        const { ctx, prepared, run } = this.parts;
+    async run(): Promise<ChatResult> {
+        const { ctx, prepared, run } = this.options;
         for (;;) {
             run.beginAttempt();
             const decision = await ctx.dispatcher.submit(this.makeTicket(), run.signal);
             if (decision.isLeft()) return this.fail(this.describeRefusal(decision.extract() as Refusal));
             const grant = decision.extract() as Grant;
-            const leftMs = ctx.crashes.quarantineLeftMs(prepared.fingerprint);
-            if (leftMs !== undefined) return this.leaveUnused(grant, leftMs);
+            const leftMs = ctx.crashGuard.quarantineLeftMs(prepared.fingerprint);
+            if (leftMs !== undefined) return this.releaseUnused(grant, leftMs);
             const attempt = await this.attempt(grant);
-            if (attempt.result.isRight()) return this.finish(attempt.result.extract() as EngineEnd);
-            const err = this.judgeFailure(grant, attempt.result.extract() as EngineStreamError);
+            if (attempt.result.isRight()) return this.finish(attempt.result.extract() as EngineStreamEnd);
+            const err = this.handleFailure(grant, attempt.result.extract() as EngineStreamError);
             if (err) return this.fail(err);
         }
     }
 
     private async attempt(grant: Grant): Promise<ChatAttempt> {
-        const { ctx, prepared, run, sink } = this.parts;
+        const { ctx, prepared, run, sink } = this.options;
         run.noteGrant(grant);
         ctx.metrics.histogram("wait_ms", grant.waitedMs, this.tags());
-        if (this.attempts++ === 0) ctx.retries.noteFirstAttempt();
+        if (this.attemptCount++ === 0) ctx.retryBudget.noteFirstAttempt();
         const sentAtMs = run.ageMs();
         const attempt = await sendChat(ctx, prepared, run, grant, sink);
         this.mayHaveRun ||= attempt.mayHaveRun;
-        this.noteTimes(attempt, sentAtMs);
-        ctx.dispatcher.complete(this.describeAttempt(grant, attempt));
-        this.noteForCrashes(grant, attempt);
+        this.recordTimes(attempt, sentAtMs);
+        ctx.dispatcher.complete(this.makeCompletion(grant, attempt));
+        this.updateCrashGuard(grant, attempt);
         return attempt;
     }
 
-    private noteForCrashes({ upstream, address }: Grant, { result }: ChatAttempt): void {
-        const { ctx: { crashes }, prepared: { fingerprint } } = this.parts;
-        result.ifRight(() => crashes.noteServed(fingerprint));
+    private updateCrashGuard({ upstream, address }: Grant, { result }: ChatAttempt): void {
+        const { ctx: { crashGuard }, prepared: { fingerprint } } = this.options;
+        result.ifRight(() => crashGuard.noteServed(fingerprint));
         result.ifLeft(({ connectionEnded }) => {
-            if (connectionEnded) crashes.noteConnectionEnded(fingerprint, upstream, address);
+            if (connectionEnded) crashGuard.noteConnectionEnded(fingerprint, upstream, address);
         });
     }
 
-    /** Its content was quarantined meanwhile. */
-    private leaveUnused(grant: Grant, leftMs: number): Promise<ChatEnd> {
-        const { ctx, prepared, run } = this.parts;
+    /** Returns a grant unused because the chat's content was quarantined meanwhile, and fails the chat. */
+    private releaseUnused(grant: Grant, leftMs: number): Promise<ChatResult> {
+        const { ctx, prepared, run } = this.options;
         ctx.dispatcher.complete({
             request: run.identity.id,
             upstream: grant.upstream,
@@ -95,48 +96,48 @@
             cachedTokens: 0,
             completionTokens: 0,
         });
-        return this.fail(makeQuarantineError(leftMs, this.outcome()));
+        return this.fail(makeQuarantineError(leftMs, this.failureOutcome()));
     }
 
     /**
-     * Decides what follows a failed attempt.
+     * Decides whether to retry after a failed attempt.
      *
-     * Guards against a retry storm: attempts beyond the first come out of a budget that grows with first attempts, so that
-     * a pool that fails as a whole gets little more work than before.
+     * Prevents retry storms: attempts beyond the first consume a budget that grows with first attempts, so that a pool that
+     * fails as a whole gets little more work than before.
      *
-     * @returns The final error; undefined when there is to be another attempt.
+     * @returns The final error; undefined to make another attempt.
      */
-    private judgeFailure(grant: Grant, err: EngineStreamError): CallerError | undefined {
-        const { ctx, run, sink } = this.parts;
+    private handleFailure(grant: Grant, err: EngineStreamError): CallerError | undefined {
+        const { ctx, run, sink } = this.options;
         run.note("attempt-failed", `${grant.upstream} with ${sink.tokens} tokens delivered: ${err.message}`);
-        if (run.isCancelled) return makeCancelError(run.cancelReason!, this.outcome());
+        if (run.isCancelled) return makeCancelError(run.cancelReason!, this.failureOutcome());
         if (run.cancelReason === "preempted") return undefined;
         if (err.reason === "rejected") return makeRejectionError(err);
         this.avoid.push(grant.upstream);
-        if (this.attempts < ctx.limits.attempts && ctx.retries.tryTake(true)) return undefined;
-        return makeUpstreamError(this.attempts, this.outcome());
+        if (this.attemptCount < ctx.limits.attempts && ctx.retryBudget.tryTake(true)) return undefined;
+        return makeUpstreamError(this.attemptCount, this.failureOutcome());
     }
 
     private describeRefusal(refusal: Refusal): CallerError {
-        const { run } = this.parts;
+        const { run } = this.options;
         run.noteRefusal(refusal.reason, refusal.detail);
-        if (run.isCancelled) return makeCancelError(run.cancelReason!, this.outcome());
-        return toRefusalError(refusal, this.outcome());
+        if (run.isCancelled) return makeCancelError(run.cancelReason!, this.failureOutcome());
+        return toRefusalError(refusal, this.failureOutcome());
     }
 
-    /** The usage is on another host before the caller sees the last event. */
-    private async finish({ usage, finishReason }: EngineEnd): Promise<ChatEnd> {
-        const { sink } = this.parts;
+    /** Completes the answer. The usage is stored on another host before the last event is sent to the caller. */
+    private async finish({ usage, finishReason }: EngineStreamEnd): Promise<ChatResult> {
+        const { sink } = this.options;
         await this.recordUsage(usage.prompt_tokens, sink.tokens);
-        // After a resume the engine's count of cached tokens is that of a prompt with part of the answer.
-        const cached_tokens = this.attempts === 1 ? usage.cached_tokens : 0;
+        // After a resume the engine counts cached tokens of a prompt that includes part of the answer.
+        const cached_tokens = this.attemptCount === 1 ? usage.cached_tokens : 0;
         sink.finish(finishReason, { ...usage, completion_tokens: sink.tokens, cached_tokens });
         return { outcome: "answered", billedTokens: usage.prompt_tokens + sink.tokens };
     }
 
-    /** The final error goes out at once. A caller that got part of a streamed answer is billed for that part. */
-    private async fail(err: CallerError): Promise<ChatEnd> {
-        const { prepared, sink } = this.parts;
+    /** Sends the final error immediately. A caller that received part of a streamed answer is billed for that part. */
+    private async fail(err: CallerError): Promise<ChatResult> {
+        const { prepared, sink } = this.options;
         sink.fail(err);
         if (sink.delivered === 0) return { outcome: err.outcome, billedTokens: 0 };
         await this.recordUsage(prepared.promptTokens, sink.delivered);
@@ -144,8 +145,8 @@
     }
 
     private recordUsage(promptTokens: number, tokens: number): Promise<void> {
-        const { workspace, pool, className } = this.parts.run.identity;
-        return this.parts.ctx.meter.record({
+        const { workspace, pool, className } = this.options.run.identity;
+        return this.options.ctx.meter.record({
             workspace,
             pool,
             class: className,
@@ -155,13 +156,13 @@
         });
     }
 
-    /** "Not run" is said only while no byte of any attempt can have left. */
-    private outcome(): Outcome {
+    /** Returns "not-run" only while no byte of any attempt can have been sent. */
+    private failureOutcome(): Outcome {
         return this.mayHaveRun ? "partly-run" : "not-run";
     }
 
-    private noteTimes({ firstTokenMs, tokenMs }: ChatAttempt, sentAtMs: number): void {
-        const { ctx, run } = this.parts;
+    private recordTimes({ firstTokenMs, tokenMs }: ChatAttempt, sentAtMs: number): void {
+        const { ctx, run } = this.options;
         if (firstTokenMs !== undefined && run.history.firstTokenMs === undefined) {
             run.history.firstTokenMs = sentAtMs + firstTokenMs;
             ctx.metrics.histogram("first_token_ms", run.history.firstTokenMs, this.tags());
@@ -170,12 +171,12 @@
     }
 
     private tags(): { workspace: string; class: string; } {
-        const { workspace, className } = this.parts.run.identity;
+        const { workspace, className } = this.options.run.identity;
         return { workspace, class: className };
     }
 
-    private describeAttempt(grant: Grant, attempt: ChatAttempt): Completion {
-        const { prepared, run } = this.parts;
+    private makeCompletion(grant: Grant, attempt: ChatAttempt): Completion {
+        const { prepared, run } = this.options;
         const usage = attempt.result.map(end => end.usage).toMaybe().extract() as EngineUsage | undefined;
         const stopped = run.cancelReason !== undefined && run.cancelReason !== "stalled";
         const failed = stopped ? "cancelled" : "failed";
@@ -192,7 +193,7 @@
     }
 
     private makeTicket(): Ticket {
-        const { prepared, run, sink, self } = this.parts;
+        const { prepared, run, sink, self } = this.options;
         const { classView, workspace } = prepared;
         return {
             request: run.identity.id,
--- a/src/entry/runService/index.ts
+++ b/src/entry/runService/index.ts
@@ -7,18 +7,18 @@
 import { CallRecord, openCall } from "../callRecord/index.js";
 import { EntryContext } from "../entryContext/index.js";
 import { PreparedService } from "../prepareService/index.js";
-import { toRefusalError } from "../refusalError/index.js";
 import { makeCancelError, makeQuarantineError, makeUpstreamError } from "../requestErrors/index.js";
 import { sendService, ServiceAnswer, ServiceCallError } from "../sendService/index.js";
+import { toRefusalError } from "../toRefusalError/index.js";
 
-/** A service call's final word. */
+/** Final result of a service call. */
 export type ServiceResult =
     | { readonly kind: "answer"; readonly answer: ServiceAnswer; readonly replayed: boolean; }
     | { readonly kind: "error"; readonly err: CallerError; };
 
 /**
- * Brings a service call to its final answer. A call that must not be repeated is sent once; another may be sent again
- * elsewhere after a failure.
+ * Runs a service call to its final answer. A non-repeatable call is sent only once; any other may be retried on another
+ * upstream after a failure.
  */
 export async function runService(
     ctx: EntryContext,
@@ -29,13 +29,13 @@
     if (!prepared.call) return runRepeatable(ctx, prepared, run, self);
     const waitMs = prepared.classView.maxWaitMs;
     const opened = await openCall(ctx, prepared.workspace.id, prepared.call, run, self, waitMs);
-    if (opened.isLeft()) return failed(opened.extract() as CallerError);
+    if (opened.isLeft()) return errorResult(opened.extract() as CallerError);
     const call = opened.unsafeCoerce();
     if (call.kind === "answered") return { kind: "answer", answer: call.answer, replayed: true };
     return runOnce(ctx, prepared, run, self, call.record);
 }
 
-/** The answer is committed before it is given, so that a resend gets the same one. */
+/** Runs a non-repeatable call. The answer is committed before it is returned, so that a resend gets the same answer. */
 async function runOnce(
     ctx: EntryContext,
     prepared: PreparedService,
@@ -48,14 +48,14 @@
         const decision = await ctx.dispatcher.submit(makeTicket(prepared, run, self, avoid), run.signal);
         if (decision.isLeft()) {
             await record.finish("not-run");
-            return failed(refusalFor(run, decision.extract() as Refusal, false));
+            return errorResult(makeRefusal(run, decision.extract() as Refusal, false));
         }
         const grant = decision.extract() as Grant;
-        const fault = findFault(ctx, prepared, run);
-        if (fault) {
+        const preventing = checkBeforeSend(ctx, prepared, run);
+        if (preventing) {
             completeGrant(ctx, run, grant, "unused");
             await record.finish("not-run");
-            return failed(fault);
+            return errorResult(preventing);
         }
         run.mustFinish = true;
         const result = await sendGranted(ctx, prepared, run, grant);
@@ -67,13 +67,13 @@
         const err = result.extract() as ServiceCallError;
         if (err.mayHaveRun) {
             await record.finish("unknown");
-            return failed(unknownError());
+            return errorResult(lostAnswerError());
         }
         run.mustFinish = false;
         avoid.push(grant.upstream);
         if (avoid.length < ctx.limits.attempts) continue;
         await record.finish("not-run");
-        return failed(makeUpstreamError(avoid.length, "not-run"));
+        return errorResult(makeUpstreamError(avoid.length, "not-run"));
     }
 }
 
@@ -85,30 +85,34 @@
 ): Promise<ServiceResult> {
     const avoid: UpstreamId[] = [];
     let mayHaveRun = false;
-    ctx.retries.noteFirstAttempt();
+    ctx.retryBudget.noteFirstAttempt();
     for (;;) {
         const decision = await ctx.dispatcher.submit(makeTicket(prepared, run, self, avoid), run.signal);
-        if (decision.isLeft()) return failed(refusalFor(run, decision.extract() as Refusal, mayHaveRun));
+        if (decision.isLeft()) return errorResult(makeRefusal(run, decision.extract() as Refusal, mayHaveRun));
         const grant = decision.extract() as Grant;
-        const leftMs = ctx.crashes.quarantineLeftMs(prepared.fingerprint);
+        const leftMs = ctx.crashGuard.quarantineLeftMs(prepared.fingerprint);
         if (leftMs !== undefined) {
             completeGrant(ctx, run, grant, "unused");
-            return failed(makeQuarantineError(leftMs, outcomeOf(mayHaveRun)));
+            return errorResult(makeQuarantineError(leftMs, failureOutcome(mayHaveRun)));
         }
         const result = await sendGranted(ctx, prepared, run, grant);
         if (result.isRight()) return { kind: "answer", answer: result.unsafeCoerce(), replayed: false };
         mayHaveRun ||= (result.extract() as ServiceCallError).mayHaveRun;
-        if (run.isCancelled) return failed(stoppedError(run, outcomeOf(mayHaveRun)));
+        if (run.isCancelled) return errorResult(cancelError(run, failureOutcome(mayHaveRun)));
         avoid.push(grant.upstream);
-        const mayRetry = avoid.length < ctx.limits.attempts && ctx.retries.tryTake(true);
-        if (!mayRetry) return failed(makeUpstreamError(avoid.length, outcomeOf(mayHaveRun)));
+        const mayRetry = avoid.length < ctx.limits.attempts && ctx.retryBudget.tryTake(true);
+        if (!mayRetry) return errorResult(makeUpstreamError(avoid.length, failureOutcome(mayHaveRun)));
     }
 }
 
-/** Why a call that no byte has left of must not be sent; undefined when it may. */
-function findFault(ctx: EntryContext, { fingerprint }: PreparedService, run: RunningRequest): CallerError | undefined {
-    if (run.isCancelled) return stoppedError(run, "not-run");
-    const leftMs = ctx.crashes.quarantineLeftMs(fingerprint);
+/** Returns the error for a call that must not be sent, cancelled or quarantined, while no byte of it has been sent; undefined when it may be sent. */
+function checkBeforeSend(
+    ctx: EntryContext,
+    { fingerprint }: PreparedService,
+    run: RunningRequest,
+): CallerError | undefined {
+    if (run.isCancelled) return cancelError(run, "not-run");
+    const leftMs = ctx.crashGuard.quarantineLeftMs(fingerprint);
     return leftMs === undefined ? undefined : makeQuarantineError(leftMs, "not-run");
 }
 
@@ -122,9 +126,9 @@
     result.ifLeft(err => run.note("attempt-failed", `${grant.upstream}: ${err.message}`));
     completeGrant(ctx, run, grant, result.isRight() ? "answered" : "failed");
     const { fingerprint } = prepared;
-    result.ifRight(() => ctx.crashes.noteServed(fingerprint));
+    result.ifRight(() => ctx.crashGuard.noteServed(fingerprint));
     result.ifLeft(({ connectionEnded }) => {
-        if (connectionEnded) ctx.crashes.noteConnectionEnded(fingerprint, grant.upstream, grant.address);
+        if (connectionEnded) ctx.crashGuard.noteConnectionEnded(fingerprint, grant.upstream, grant.address);
     });
     return result;
 }
@@ -174,25 +178,25 @@
     };
 }
 
-function failed(err: CallerError): ServiceResult {
+function errorResult(err: CallerError): ServiceResult {
     return { kind: "error", err };
 }
 
-function refusalFor(run: RunningRequest, refusal: Refusal, mayHaveRun: boolean): CallerError {
+function makeRefusal(run: RunningRequest, refusal: Refusal, mayHaveRun: boolean): CallerError {
     run.noteRefusal(refusal.reason, refusal.detail);
-    const outcome = outcomeOf(mayHaveRun);
-    return run.isCancelled ? stoppedError(run, outcome) : toRefusalError(refusal, outcome);
+    const outcome = failureOutcome(mayHaveRun);
+    return run.isCancelled ? cancelError(run, outcome) : toRefusalError(refusal, outcome);
 }
 
-function stoppedError(run: RunningRequest, outcome: Outcome): CallerError {
+function cancelError(run: RunningRequest, outcome: Outcome): CallerError {
     return makeCancelError(run.cancelReason!, outcome);
 }
 
-function outcomeOf(mayHaveRun: boolean): Outcome {
+function failureOutcome(mayHaveRun: boolean): Outcome {
     return mayHaveRun ? "unknown" : "not-run";
 }
 
-function unknownError(): CallerError {
+function lostAnswerError(): CallerError {
     const message = "the call was sent and its answer is lost; it is not run again under this idempotency key";
     return new CallerError(502, "outcome-unknown", message, "unknown");
 }
