--- a/src/entry/sendAllowance/test.ts
+++ b/src/entry/sendAllowance/test.ts
@@ -9,49 +9,49 @@
     const countEntries = (): number => 4;
     const spec = { durationMs: 3_000, requestsPerSecond: 9.5 };
 
-    it("is what an upstream bears, at the host that decides for all", () => {
-        const allowance = new SendAllowance({ findSpec: () => spec, placeAmongOwners: () => 0, countEntries });
+    it("is the cold rate of an upstream at the owner", () => {
+        const allowance = new SendAllowance({ findColdSpec: () => spec, ownerRank: () => 0, countEntries });
         assert.deepEqual([allowance.coldRateOf(POOL), allowance.coldMsOf(POOL)], [9, 3_000]);
     });
 
-    it("lets one request a second through where upstreams bear less than that", () => {
+    it("is at least one request per second", () => {
         const slow = { durationMs: 3_000, requestsPerSecond: 0.4 };
         assert.equal(
-            new SendAllowance({ findSpec: () => slow, placeAmongOwners: () => 0, countEntries }).coldRateOf(POOL),
+            new SendAllowance({ findColdSpec: () => slow, ownerRank: () => 0, countEntries }).coldRateOf(POOL),
             1,
         );
     });
 
-    it("is nothing at a host that does not decide", () => {
-        // Guards against many hosts that are cut off and each send as much as an upstream bears.
+    it("is 0 at a host that is not an owner", () => {
+        // Otherwise many hosts that are cut off would each send as much as an upstream sustains.
         assert.equal(
-            new SendAllowance({ findSpec: () => spec, placeAmongOwners: () => undefined, countEntries }).coldRateOf(
+            new SendAllowance({ findColdSpec: () => spec, ownerRank: () => undefined, countEntries }).coldRateOf(
                 POOL,
             ),
             0,
         );
     });
 
-    it("has no bound where upstreams are never cold", () => {
+    it("is unbounded where upstreams are never cold", () => {
         const allowance = new SendAllowance({
-            findSpec: () => undefined,
-            placeAmongOwners: () => undefined,
+            findColdSpec: () => undefined,
+            ownerRank: () => undefined,
             countEntries,
         });
         assert.deepEqual([allowance.coldRateOf(POOL), allowance.coldMsOf(POOL)], [Number.POSITIVE_INFINITY, 0]);
     });
 
-    it("is the whole of a limit at the owner, a part at the next one, and a share of that at hosts that decide by themselves", () => {
-        // Guards against several hosts that decide at a time, each of which uses the whole limit.
+    it("is the whole limit at the owner, a fraction at its successor, and a share of that fraction at hosts that decide on their own", () => {
+        // Otherwise several hosts that decide concurrently would each use the whole limit.
         const shares = [0, 1, 2, undefined].map(place =>
-            new SendAllowance({ findSpec: () => spec, placeAmongOwners: () => place, countEntries }).limitShareOf(POOL)
+            new SendAllowance({ findColdSpec: () => spec, ownerRank: () => place, countEntries }).limitShareOf(POOL)
         );
         assert.deepEqual(shares, [1, 1 / 4, 1 / 16, 1 / 16]);
     });
 
-    it("is nothing to cold upstreams beyond the owner and the next one", () => {
+    it("is 0 for cold upstreams beyond the owner and its successor", () => {
         const rates = [0, 1, 2].map(place =>
-            new SendAllowance({ findSpec: () => spec, placeAmongOwners: () => place, countEntries }).coldRateOf(POOL)
+            new SendAllowance({ findColdSpec: () => spec, ownerRank: () => place, countEntries }).coldRateOf(POOL)
         );
         assert.deepEqual(rates, [9, 9, 0]);
     });
--- a/src/entry/sendChat/index.ts
+++ b/src/entry/sendChat/index.ts
@@ -3,32 +3,35 @@
 import { ENGINE_PATHS, EngineRequest } from "../../protocol/index.js";
 import { RunningRequest } from "../../request/index.js";
 import { ChatSink } from "../chatSink/index.js";
-import { EngineEnd, EngineStreamError, readEngineStream } from "../engineStream/index.js";
+import { EngineStreamEnd, EngineStreamError, readEngineStream } from "../engineStream/index.js";
 import { EntryContext } from "../entryContext/index.js";
-import { noteLimit } from "../noteLimit/index.js";
 import { PreparedChat } from "../prepareChat/index.js";
-import { StallWatch } from "../stallWatch/index.js";
+import { reportRequestLimit } from "../reportRequestLimit/index.js";
+import { StallTimer } from "../stallTimer/index.js";
 
+/** Statuses of time-outs, conflicts and overload, after which the same request may succeed elsewhere. */
 const TRANSIENT_STATUSES: readonly number[] = [408, 409, 425, 429];
 
-/** What one attempt came to. */
+/** Result of one attempt to run a chat. */
 export interface ChatAttempt {
-    readonly result: Either<EngineStreamError, EngineEnd>;
-    /** False only when no byte of the request can have left. */
+    readonly result: Either<EngineStreamError, EngineStreamEnd>;
+    /** False only when no byte of the request can have been sent. */
     readonly mayHaveRun: boolean;
+    /** Time from sending to the first token, in milliseconds. */
     readonly firstTokenMs?: number;
+    /** Mean time between tokens, in milliseconds. */
     readonly tokenMs?: number;
-    /** Tokens that came in this attempt. */
+    /** Number of tokens received in this attempt. */
     readonly tokens: number;
 }
 
 /**
- * Sends a chat to the granted engine and passes its tokens on.
+ * Sends a chat to the granted engine and streams its tokens to the sink.
  *
- * Guards against an engine, or a connection, that goes silent: the stream is given up when the first token or the next
- * one does not come within its bound, and the connection is reset so that nothing late on it reaches another request.
+ * Handles an engine or a connection that becomes unresponsive: the stream is abandoned when the first or the next token does
+ * not arrive within its limit, and the connection is reset so that no late data on it reaches another request.
  *
- * @param sink - Its count of tokens is where the engine must continue.
+ * @param sink - Receives the tokens; the engine must continue after the tokens that the sink already has.
  */
 export async function sendChat(
     ctx: EntryContext,
@@ -56,28 +59,28 @@
     if (sent.isLeft()) {
         const err = sent.extract();
         const connectionEnded = err.reason === "closed";
-        return attemptFailed(new EngineStreamError("unreachable", err.message, connectionEnded), err.mayHaveLeft);
+        return failedAttempt(new EngineStreamError("unreachable", err.message, connectionEnded), err.mayHaveLeft);
     }
     const reply = sent.unsafeCoerce();
-    noteLimit(ctx, prepared.pool, grant, reply);
+    reportRequestLimit(ctx, prepared.pool, grant, reply);
     if (reply.status !== 200) {
         reply.reset();
         const reason = isRejection(reply.status) ? "rejected" : "refused";
-        return attemptFailed(new EngineStreamError(reason, `status ${reply.status}`), true);
+        return failedAttempt(new EngineStreamError(reason, `status ${reply.status}`), true);
     }
-    const watch = new StallWatch(clock, () => run.cancel("stalled"));
-    watch.expectWithin(limits.firstTokenStallMs);
+    const stallTimer = new StallTimer(clock, () => run.cancel("stalled"));
+    stallTimer.expectWithin(limits.firstTokenStallMs);
     const result = await readEngineStream(reply, run.identity.id, offset, ({ text, tokens }) => {
         lastAt = clock.monotonic();
         if (firstAt === undefined) {
             firstAt = lastAt;
-            watch.expectWithin(limits.tokenStallMs);
+            stallTimer.expectWithin(limits.tokenStallMs);
         }
-        watch.touch();
+        stallTimer.touch();
         ctx.dispatcher.progress(run.identity.id, tokens);
         return sink.write(text, tokens);
     }, clock);
-    watch.stop();
+    stallTimer.stop();
     if (result.isLeft()) reply.reset();
     const tokens = sink.tokens - offset;
     return {
@@ -89,12 +92,12 @@
     };
 }
 
-/** A fault of the request itself; time-outs, conflicts and overload (408, 409, 425, 429) pass. */
+/** Whether a status means that the request itself is invalid; time-outs, conflicts and overload (408, 409, 425, 429) are transient. */
 function isRejection(status: number): boolean {
     return status >= 400 && status < 500 && !TRANSIENT_STATUSES.includes(status);
 }
 
-function attemptFailed(err: EngineStreamError, mayHaveRun: boolean): ChatAttempt {
+function failedAttempt(err: EngineStreamError, mayHaveRun: boolean): ChatAttempt {
     return { result: Left(err), mayHaveRun, tokens: 0 };
 }
 
--- a/src/entry/sendService/index.ts
+++ b/src/entry/sendService/index.ts
@@ -4,21 +4,21 @@
 import { REQUEST_ID_HEADER } from "../../protocol/index.js";
 import { RunningRequest } from "../../request/index.js";
 import { EntryContext } from "../entryContext/index.js";
-import { noteLimit } from "../noteLimit/index.js";
 import { PreparedService } from "../prepareService/index.js";
+import { reportRequestLimit } from "../reportRequestLimit/index.js";
 
-/** A service call without a whole answer. */
+/** A service call that did not get a complete answer. */
 export class ServiceCallError extends Error {
     /**
-     * @param mayHaveRun - False only when no byte of the call can have left.
-     * @param connectionEnded - The service closed or reset the connection while it had the call.
+     * @param mayHaveRun - False only when no byte of the call can have been sent.
+     * @param connectionEnded - Whether the service closed or reset the connection while it was handling the call.
      */
     constructor(readonly mayHaveRun: boolean, detail: string, readonly connectionEnded = false) {
         super(detail);
     }
 }
 
-/** A service's whole answer. */
+/** A service's complete answer. */
 export interface ServiceAnswer {
     readonly status: number;
     readonly contentType: string;
@@ -26,11 +26,10 @@
 }
 
 /**
- * Sends a call to the granted service and reads its whole answer.
+ * Sends a call to the granted service and reads its complete answer.
  *
- * Guards against a pooled connection that has gone silent, on which a call may have arrived or not: a call that must not be
- * repeated goes over a connection of its own. Guards against crossed answers: where the service repeats the request's
- * id, it must be this one.
+ * On a pooled connection that has become unresponsive, it is unknown whether a call arrived, so a non-repeatable call uses a
+ * connection of its own. To detect answers to other requests, an answer that echoes a request id must echo this request's.
  */
 export async function sendService(
     ctx: EntryContext,
@@ -58,7 +57,7 @@
         const err = sent.extract();
         return Left(new ServiceCallError(err.mayHaveLeft, err.message, err.reason === "closed"));
     }
-    noteLimit(ctx, prepared.pool, grant, sent.unsafeCoerce());
+    reportRequestLimit(ctx, prepared.pool, grant, sent.unsafeCoerce());
     return readAnswer(sent.unsafeCoerce(), run, limits.bodyBytes, limits.serviceMs, ctx);
 }
 
--- a/src/entry/serveAnnouncements/index.ts
+++ b/src/entry/serveAnnouncements/index.ts
@@ -5,16 +5,17 @@
 const BODY_LIMIT_BYTES = 256 * 1024;
 
 /**
- * Gives the handler of the upstreams' port: announcements.
+ * Creates the HTTP handler that receives upstreams' announcements.
  *
- * @param take - Gets each well-formed announcement; false: it can't be confirmed, and the upstream should tell another process.
+ * @param accept - Receives each valid announcement. Returns false if it can't be confirmed; the upstream should then announce itself to another
+ * process.
  */
-export function serveAnnouncements(take: (announcement: Announcement) => void | Promise<boolean>): HttpHandler {
+export function serveAnnouncements(accept: (announcement: Announcement) => void | Promise<boolean>): HttpHandler {
     return async (req, res) => {
         if (req.method !== "POST" || req.path !== ANNOUNCE_PATH) return sendStatus(res, 404, "not found");
         const announcement = await readAnnouncement(req);
         if (typeof announcement === "string") return sendStatus(res, 400, announcement);
-        if (await take(announcement) === false) return sendStatus(res, 503, "nobody could be told");
+        if (await accept(announcement) === false) return sendStatus(res, 503, "nobody could be told");
         return sendStatus(res, 204);
     };
 }
--- a/src/entry/serveCallers/index.ts
+++ b/src/entry/serveCallers/index.ts
@@ -8,7 +8,7 @@
 import { serveService } from "../serveService/index.js";
 
 /**
- * Gives the handler of the callers' port: chats, service calls, health and readiness.
+ * Creates the HTTP handler of the callers' port: chats, service calls, health and readiness.
  *
  * @example
  * await http.serve(address, limits, serveCallers(ctx, self));
@@ -36,7 +36,7 @@
     return sendCallerError(res, new CallerError(405, "method-unknown", "chats are sent with POST"), id);
 }
 
-/** Ready: the balancer may send callers here. */
+/** Reports whether the load balancer may send callers to this host. */
 function sendReadiness(ctx: EntryContext, res: HttpResponse): void {
     if (ctx.isDraining()) return sendState(res, 503, "draining");
     if (!ctx.control.isFresh()) return sendState(res, 503, "no-view");
--- a/src/entry/serveCallers/test.ts
+++ b/src/entry/serveCallers/test.ts
@@ -5,8 +5,8 @@
 import { BODY_BYTES, CallerServer, FakeEngine, HOTEL_KEY, RawAnswer, RawCaller } from "../fixtures/index.js";
 
 const CHAT = { model: "draft", messages: [{ role: "user", content: "sheet" }] };
-/** Ends a test that hangs. */
-const LIMIT = { timeout: 20_000 };
+/** Fails a test that hangs. */
+const TEST_TIMEOUT = { timeout: 20_000 };
 const SEND_PAUSE_MS = 50;
 const AUTHORIZATION = `authorization: Bearer ${HOTEL_KEY}`;
 
@@ -23,7 +23,7 @@
     return [...lines, ...headers ?? [AUTHORIZATION], length, "", body].join("\r\n");
 }
 
-/** Checks that an answer is an error of the usual shape, and gives its status, type and outcome. */
+/** Asserts that an answer has the common error format, and returns its status, type and outcome. */
 function readError(answer: RawAnswer | undefined): readonly [status: number, type: string, outcome: string] {
     assert.ok(answer, "no answer came");
     const { error } = JSON.parse(answer.body);
@@ -35,8 +35,8 @@
     return [answer.status, error.type, error.outcome];
 }
 
-async function waitUntil(look: () => boolean): Promise<void> {
-    while (!look()) await new Promise(resolve => setImmediate(resolve));
+async function waitUntil(isDone: () => boolean): Promise<void> {
+    while (!isDone()) await new Promise(resolve => setImmediate(resolve));
 }
 
 describe("serveCallers", () => {
@@ -64,7 +64,7 @@
     async function ask(request: RawRequest): Promise<RawAnswer | undefined> {
         const caller = await RawCaller.connect(address);
         caller.send(format(request));
-        const answer = await caller.answer();
+        const answer = await caller.readAnswer();
         caller.connection.reset();
         return answer;
     }
@@ -107,37 +107,37 @@
         it("headers that never end", async () => {
             const caller = await RawCaller.connect(address);
             caller.send("POST /v1/chat/completions HTTP/1.1\r\nhost: entry\r\n");
-            assert.deepEqual(readError(await caller.answer()), [408, "request-timeout", "not-run"]);
-            await caller.ended();
+            assert.deepEqual(readError(await caller.readAnswer()), [408, "request-timeout", "not-run"]);
+            await caller.awaitEnd();
         });
 
         it("a body that never ends", async () => {
             const caller = await RawCaller.connect(address);
             caller.send(format({}).slice(0, -1));
-            assert.deepEqual(readError(await caller.answer()), [408, "request-timeout", "not-run"]);
-            await caller.ended();
+            assert.deepEqual(readError(await caller.readAnswer()), [408, "request-timeout", "not-run"]);
+            await caller.awaitEnd();
         });
 
-        it("a body of unknown length that goes over the limit, and reads no more of it soon after", LIMIT, async () => {
-            // An entry spends its network for half a minute on a caller that it has refused.
-            // The caller goes on sending after its 413, and the entry goes on reading until the request's time is up.
-            // Cause: an HTTP server reads the rest of a body in order to keep the connection.
+        it("a body of unknown length over the limit, and soon stops reading it", TEST_TIMEOUT, async () => {
+            // Failure: an entry spends network capacity for half a minute on a caller that it has refused. The caller continues to send
+            // after its 413, and the entry reads until the request times out, since HTTP servers read the rest of a body in order to
+            // keep the connection.
             const patient = new CallerServer();
             const caller = await RawCaller.connect(await patient.start({ requestTimeoutMs: 600_000 }));
             const head = format({ headers: [AUTHORIZATION, "transfer-encoding: chunked"], body: "" });
             caller.send(head.replace("content-length: 0\r\n", ""));
             const chunk = `400\r\n${"x".repeat(0x400)}\r\n`;
             for (let sent = 0; sent <= BODY_BYTES; sent += 0x400) caller.send(chunk);
-            assert.deepEqual(readError(await caller.answer()), [413, "body-too-large", "not-run"]);
-            // Idle connections end by themselves; this caller never stops to send.
-            const ended = caller.ended().then(() => true);
+            assert.deepEqual(readError(await caller.readAnswer()), [413, "body-too-large", "not-run"]);
+            // Idle connections are closed by the server anyway; this caller never stops sending.
+            const ended = caller.awaitEnd().then(() => true);
             const clock = new SystemClock();
             while (!await Promise.race([ended, clock.sleep(SEND_PAUSE_MS).then(() => false)])) caller.send(chunk);
             await patient.close();
         });
     });
 
-    describe("a caller that leaves", () => {
+    describe("a caller that disconnects", () => {
         it("gives up its place in the queue", async () => {
             server.dispatcher.upstream = undefined;
             const caller = await RawCaller.connect(address);
@@ -152,7 +152,7 @@
             const resets = engine.resets;
             const caller = await RawCaller.connect(address);
             caller.send(format({ body: JSON.stringify({ ...CHAT, stream: true }) }));
-            assert.ok(await caller.until("t0"));
+            assert.ok(await caller.readUntil("t0"));
             caller.connection.reset();
             await waitUntil(() => engine.resets > resets && server.requests.size === 0);
             assert.equal(server.dispatcher.completions.at(-1)!.outcome, "cancelled");
@@ -160,36 +160,35 @@
     });
 
     describe("on one connection", () => {
-        it("answers one request after the other, an error between them too", async () => {
+        it("answers consecutive requests, with an error between them", async () => {
             const caller = await RawCaller.connect(address);
             caller.send(format({}));
-            assert.match((await caller.answer())!.body, /t0 t1/);
+            assert.match((await caller.readAnswer())!.body, /t0 t1/);
             caller.send(format({ body: "{" }));
-            assert.deepEqual(readError(await caller.answer()), [400, "malformed", "not-run"]);
+            assert.deepEqual(readError(await caller.readAnswer()), [400, "malformed", "not-run"]);
             caller.send(format({}));
-            assert.match((await caller.answer())!.body, /t0 t1/);
+            assert.match((await caller.readAnswer())!.body, /t0 t1/);
             caller.connection.reset();
         });
 
-        it("answers pipelined requests in their order", async () => {
+        it("answers pipelined requests in order", async () => {
             const caller = await RawCaller.connect(address);
             caller.send(format({}) + format({ path: "/v2/chat" }) + format({}));
-            assert.match((await caller.answer())!.body, /t0 t1/);
-            assert.deepEqual(readError(await caller.answer()), [404, "not-found", "not-run"]);
-            assert.match((await caller.answer())!.body, /t0 t1/);
+            assert.match((await caller.readAnswer())!.body, /t0 t1/);
+            assert.deepEqual(readError(await caller.readAnswer()), [404, "not-found", "not-run"]);
+            assert.match((await caller.readAnswer())!.body, /t0 t1/);
             caller.connection.reset();
         });
 
-        it("puts no error into an answer that is under way", async () => {
-            // A caller that sends stray bytes behind its request reads "not run" in the middle of its stream.
-            // The request streams; the stray bytes are no HTTP; the server answers them at once.
-            // Cause: the answer to malformed bytes is written to the connection, whatever else is being written to it.
+        it("writes no error into an answer that is being sent", async () => {
+            // Failure: a caller that sends stray bytes after its request reads "not run" in the middle of its stream. The bytes are not
+            // HTTP, and the server writes the error for them to the connection immediately, while the stream is being written.
             engine.isEndless = true;
             const caller = await RawCaller.connect(address);
             caller.send(format({ body: JSON.stringify({ ...CHAT, stream: true }) }));
-            assert.ok(await caller.until("t0"));
+            assert.ok(await caller.readUntil("t0"));
             caller.send("\u0001\r\n\r\n");
-            assert.equal(await caller.until("not-run"), false);
+            assert.equal(await caller.readUntil("not-run"), false);
         });
     });
 });
--- a/src/entry/serveChat/index.ts
+++ b/src/entry/serveChat/index.ts
@@ -3,19 +3,19 @@
 import { RunningRequest } from "../../request/index.js";
 import { admitRequest } from "../admitRequest/index.js";
 import { CallerError, sendCallerError } from "../callerError/index.js";
-import { ChatSink, StreamSink, WholeSink } from "../chatSink/index.js";
+import { BufferedSink, ChatSink, StreamSink } from "../chatSink/index.js";
 import { EntryContext } from "../entryContext/index.js";
 import { prepareChat, PreparedChat } from "../prepareChat/index.js";
 import { runChat } from "../runChat/index.js";
-import { RequestEnd, trackRequest } from "../trackRequest/index.js";
+import { RequestResult, trackRequest } from "../trackRequest/index.js";
 
 const MS_PER_SECOND = 1_000;
 
 /**
- * Answers one chat request, from its first byte to its last.
+ * Serves one chat request, from authentication to the end of the answer.
  *
- * @param id - The request's id, on its answer and in logs.
- * @param self - The host that holds the caller's connection.
+ * @param id - Request id, sent with the answer and used in logs.
+ * @param self - Host that holds the caller's connection.
  */
 export async function serveChat(
     ctx: EntryContext,
@@ -31,31 +31,31 @@
     if (checked.isLeft()) return sendCallerError(res, checked.extract() as CallerError, id);
     const prepared = checked.unsafeCoerce();
     const tracked = { id, keyHash: key.hash, workspace, classView: prepared.classView, pool: prepared.pool };
-    await trackRequest(ctx, req, tracked, run => answer(ctx, prepared, run, res, self));
+    await trackRequest(ctx, req, tracked, run => answerChat(ctx, prepared, run, res, self));
 }
 
-async function answer(
+async function answerChat(
     ctx: EntryContext,
     prepared: PreparedChat,
     run: RunningRequest,
     res: HttpResponse,
     self: HostId,
-): Promise<RequestEnd> {
-    const taken = await ctx.spendGate.take(prepared.workspace, prepared.promptTokens + prepared.maxTokens);
-    if (taken.isLeft()) {
-        const err = taken.extract() as CallerError;
+): Promise<RequestResult> {
+    const reserved = await ctx.spendLimiter.reserve(prepared.workspace, prepared.promptTokens + prepared.maxTokens);
+    if (reserved.isLeft()) {
+        const err = reserved.extract() as CallerError;
         run.noteRefusal(err.type, err.message);
         sendCallerError(res, err, run.identity.id);
         return { outcome: err.outcome, tokens: 0 };
     }
     const sink = makeSink(ctx, prepared, run, res);
     const { outcome, billedTokens } = await runChat({ ctx, prepared, run, sink, self });
-    ctx.spendGate.settle(prepared.workspace, taken.unsafeCoerce(), billedTokens);
+    ctx.spendLimiter.settle(prepared.workspace, reserved.unsafeCoerce(), billedTokens);
     return { outcome, tokens: sink.tokens };
 }
 
 function makeSink(ctx: EntryContext, { chat }: PreparedChat, run: RunningRequest, res: HttpResponse): ChatSink {
     const created = Math.floor(ctx.clock.now() / MS_PER_SECOND);
     const chatAnswer = { request: run.identity.id, model: chat.model, created };
-    return chat.stream ? new StreamSink(res, chatAnswer) : new WholeSink(res, chatAnswer);
+    return chat.stream ? new StreamSink(res, chatAnswer) : new BufferedSink(res, chatAnswer);
 }
--- a/src/entry/serveService/index.ts
+++ b/src/entry/serveService/index.ts
@@ -9,10 +9,10 @@
 import { runService, ServiceResult } from "../runService/index.js";
 import { trackRequest } from "../trackRequest/index.js";
 
-/** Says that the answer is that of an earlier call with the same idempotency key. */
+/** Header that marks an answer as that of an earlier call with the same idempotency key. */
 const REPLAYED_HEADER = "x-sequoiamux-replayed";
 
-/** Answers one service call, from its first byte to its last. */
+/** Serves one service call, from authentication to the end of the answer. */
 export async function serveService(
     ctx: EntryContext,
     req: HttpRequest,
@@ -29,14 +29,14 @@
     const tracked = { id, keyHash: key.hash, workspace, classView: prepared.classView, pool: prepared.pool };
     await trackRequest(ctx, req, tracked, async run => {
         const result = await runService(ctx, prepared, run, self);
-        await recordRun(ctx, prepared, result);
+        await recordUsage(ctx, prepared, result);
         sendResult(res, id, result);
         return { outcome: result.kind === "error" ? result.err.outcome : "answered", tokens: 0 };
     });
 }
 
-/** A call that has a record is billed with it, once. */
-async function recordRun(ctx: EntryContext, prepared: PreparedService, result: ServiceResult): Promise<void> {
+/** Records the usage of a call without a call record; a call with a record is billed once, when the record is closed. */
+async function recordUsage(ctx: EntryContext, prepared: PreparedService, result: ServiceResult): Promise<void> {
     if (result.kind === "error" || prepared.call) return;
     await ctx.meter.record({
         workspace: prepared.workspace.id,
--- a/src/entry/stallWatch/index.ts
+++ b/src/entry/stallTimer/index.ts
@@ -1,23 +1,23 @@
 import { Clock, Timer } from "../../ports/index.js";
 
 /**
- * Notices that something expected has not come. One timer for a whole stream, moved on only when it runs out, so that a token costs
- * no timer of its own.
+ * Detects that expected data has not arrived. A whole stream uses one timer, which is rearmed only when it expires, so that no timer
+ * is set per token.
  *
  * @example
- * const watch = new StallWatch(clock, () => connection.reset());
- * watch.expectWithin(2_000);
- * watch.touch();
+ * const stallTimer = new StallTimer(clock, () => connection.reset());
+ * stallTimer.expectWithin(2_000);
+ * stallTimer.touch();
  */
-export class StallWatch {
+export class StallTimer {
     private timer: Timer | undefined;
     private limitMs = 0;
     private lastTouch = 0;
 
-    /** @param onStall - Called once, when nothing has come for as long as was set. */
+    /** @param onStall - Called once, when nothing has arrived within the limit. */
     constructor(private readonly clock: Clock, private readonly onStall: () => void) {}
 
-    /** Starts to wait anew, for at most this long between touches, in milliseconds. */
+    /** Restarts the timer with a maximum time between calls of `touch`, in milliseconds. */
     expectWithin(limitMs: number): void {
         this.stop();
         this.limitMs = limitMs;
@@ -25,7 +25,7 @@
         this.arm(limitMs);
     }
 
-    /** Tells that something has come. */
+    /** Records that data has arrived. */
     touch(): void {
         this.lastTouch = this.clock.monotonic();
     }
@@ -36,10 +36,10 @@
     }
 
     private arm(ms: number): void {
-        this.timer = this.clock.after(ms, () => this.look());
+        this.timer = this.clock.after(ms, () => this.check());
     }
 
-    private look(): void {
+    private check(): void {
         const left = this.lastTouch + this.limitMs - this.clock.monotonic();
         if (left > 0) {
             this.arm(left);
--- a/src/entry/startsSender/test.ts
+++ b/src/entry/startCountReporter/test.ts
@@ -6,12 +6,12 @@
 import { TrueTime } from "../../time/index.js";
 import { StartMeter } from "../../usage/index.js";
 import { decodeValue, EncodedBody } from "../../wire/index.js";
-import { StartsSender } from "./index.js";
+import { StartCountReporter } from "./index.js";
 
 const BUTCHER = "butcher" as WorkspaceId;
 const WINDOW_MS = 5_000;
 
-/** A control process that keeps what it is told. */
+/** A link to a control process that records the reports. */
 class FakeLink {
     readonly reports: StartsReport[] = [];
 
@@ -21,14 +21,14 @@
         this.reports.push(decodeValue((body as EncodedBody).bytes) as StartsReport);
     }
 
-    /** The most that it was told of the butcher's requests. */
+    /** Highest reported count of the butcher's request starts. */
     get counted(): number {
         const counts = this.reports.flatMap(({ windows }) => windows.map(window => window.counts[BUTCHER] ?? 0));
         return Math.max(0, ...counts);
     }
 }
 
-describe("StartsSender", () => {
+describe("StartCountReporter", () => {
     function makeSender() {
         const clock = new VirtualClock();
         const time = new TrueTime(clock);
@@ -37,14 +37,14 @@
         const links = ["control-1", "control-2"].map(makeLink);
         const state = { holder: links[0] };
         const self = { host: "entry-1" as HostId, incarnation: "1" as Incarnation };
-        const sender = new StartsSender({ clock, self, meter, time, links, holderLink: () => state.holder });
+        const sender = new StartCountReporter({ clock, self, meter, time, links, holderLink: () => state.holder });
         const stop = new AbortController();
         void sender.run(stop.signal);
         const note = (): void => meter.note(BUTCHER, time.now());
         return { clock, links, state, note, stop, sender };
     }
 
-    it("tells the holder of a new count within a few hundredths of a second", async () => {
+    it("reports a new count to the holder within tens of milliseconds", async () => {
         const { clock, links: [holder, other], note, stop } = makeSender();
         await clock.advance(600);
         note();
@@ -53,16 +53,16 @@
         stop.abort();
     });
 
-    it("says that it is the last word where the entry stops", async () => {
+    it("marks the last report when the entry stops", async () => {
         const { links, note, stop, sender } = makeSender();
         note();
-        sender.sendOnce(true);
+        sender.sendToAll(true);
         assert.deepEqual(links.map(({ reports }) => reports.at(-1)?.isLast), [true, true]);
         assert.deepEqual(links.map(({ counted }) => counted), [1, 1]);
         stop.abort();
     });
 
-    it("tells all control processes now and then", async () => {
+    it("reports to all control processes occasionally", async () => {
         const { clock, links: [, other], note, stop } = makeSender();
         note();
         await clock.advance(2_600);
@@ -70,8 +70,8 @@
         stop.abort();
     });
 
-    it("tells a new holder everything, and one that has restarted", async () => {
-        // Guards against a window that is billed in part: its counts were told to a holder that was lost before it had noted them.
+    it("sends all counts to a new holder, and to one that has restarted", async () => {
+        // Otherwise a window would be billed in part: its counts were reported to a holder that was lost before it stored them.
         const { clock, links: [first, second], state, note, stop } = makeSender();
         note();
         await clock.advance(1_900);
--- a/src/entry/ticketServer/index.ts
+++ b/src/entry/ticketServer/index.ts
@@ -3,7 +3,7 @@
 import { Clock } from "../../ports/index.js";
 import { PeerChannel, PeerRouter } from "../../wire/index.js";
 
-/** The methods between an entry that holds a caller and the owner of a pool's queue. */
+/** Peer methods between an entry that serves a caller and the owner of a pool's queue. */
 export const DISPATCH_METHODS = {
     submit: "dispatch.submit",
     cancel: "dispatch.cancel",
@@ -20,25 +20,26 @@
     | { readonly kind: "grant"; readonly grant: Grant; }
     | { readonly kind: "refusal"; readonly refusal: Refusal; };
 
-/** Tokens that came for some requests since the last such notice. */
+/** Numbers of tokens received for requests since the last such notice. */
 export type ProgressNotice = readonly { readonly request: RequestId; readonly tokens: number; }[];
 
-/** A grant that an earlier owner of the queue gave. */
+/** A running grant made by a previous owner of the queue, reported to the new owner. */
 export interface AdoptNotice {
     readonly ticket: Ticket;
     readonly grant: Grant;
-    /** How long ago it was given, in milliseconds. */
+    /** Time since the grant was made, in milliseconds. */
     readonly runningMs: number;
 }
 
-/** What an upstream's answer says of how many requests it takes. */
+/** The request limit in an upstream's answer. */
 export interface LimitNotice {
     readonly pool: PoolId;
     readonly upstream: UpstreamId;
-    /** Missing where it names no limit any more. */
+    /** Requests per second; undefined where the upstream no longer sets a limit. */
     readonly perSecond?: number;
 }
 
+/** A ticket submitted by another entry. */
 interface RemoteTicket {
     readonly channel: PeerChannel;
     readonly abort: AbortController;
@@ -46,28 +47,28 @@
 }
 
 /**
- * A ticket that is not decided after this long is said to be queued, in milliseconds. An entry that hears neither goes to
- * another owner, so this is well under its patience.
+ * Time after which an undecided ticket is confirmed as queued, in milliseconds. An entry that receives neither a decision nor a
+ * confirmation turns to another owner, so this is well below its timeout.
  */
 const QUEUED_AFTER_MS = 20;
 
 /**
- * The owner's side: queues other entries' tickets beside this entry's own.
+ * The owner's side of dispatch: queues other entries' tickets together with this entry's own.
  *
- * Guards against slots that stay taken by an entry that has ended: when its channel ends, its waiting tickets are
- * cancelled and its grants are counted as finished. The same holds for a grant whose reply came too late to be used.
+ * Prevents slots from remaining occupied by an entry that has ended: when its channel closes, its waiting tickets are
+ * cancelled and its grants are counted as finished. The same applies to a grant whose reply can no longer be delivered.
  *
  * @example
  * new TicketServer(local, clock, request => requests.cancel(request, "preempted")).addTo(router);
  */
 export class TicketServer {
-    private readonly remote = new Map<RequestId, RemoteTicket>();
-    /** The tickets of each channel, ended together when it ends. */
+    private readonly remoteTickets = new Map<RequestId, RemoteTicket>();
+    /** The tickets of each channel, abandoned together when the channel closes. */
     private readonly byChannel = new Map<PeerChannel, Set<RequestId>>();
 
     /**
-     * @param local - The queues of this host.
-     * @param preemptHere - Told of a preemption of a request whose caller is connected here.
+     * @param local - Queues of this host.
+     * @param preemptHere - Called when a request whose caller is connected to this host is preempted.
      */
     constructor(
         private readonly local: LocalDispatcher,
@@ -75,7 +76,7 @@
         preemptHere: (request: RequestId) => void,
     ) {
         local.onPreempt(request => {
-            const ticket = this.remote.get(request);
+            const ticket = this.remoteTickets.get(request);
             if (ticket) ticket.channel.notify(DISPATCH_METHODS.preempt, request);
             else preemptHere(request);
         });
@@ -84,8 +85,8 @@
     addTo(router: PeerRouter): void {
         router.add(DISPATCH_METHODS.submit, (body, channel) => this.submit(body as Ticket, channel));
         router.add(DISPATCH_METHODS.cancel, body => {
-            const entry = this.remote.get(body as RequestId);
-            if (entry) this.abandon(body as RequestId, entry);
+            const remote = this.remoteTickets.get(body as RequestId);
+            if (remote) this.abandon(body as RequestId, remote);
         });
         router.add(DISPATCH_METHODS.complete, body => this.complete(body as Completion));
         router.add(DISPATCH_METHODS.adopt, (body, channel) => this.adopt(body as AdoptNotice, channel));
@@ -99,67 +100,67 @@
     }
 
     private async submit(ticket: Ticket, channel: PeerChannel): Promise<TicketReply> {
-        const entry = this.remember(ticket.request, channel);
+        const remote = this.track(ticket.request, channel);
         const notice = this.clock.after(
             QUEUED_AFTER_MS,
             () => channel.notify(DISPATCH_METHODS.queued, ticket.request),
         );
-        const decision = await this.local.submit(ticket, entry.abort.signal);
+        const decision = await this.local.submit(ticket, remote.abort.signal);
         notice.cancel();
         if (decision.isLeft()) {
-            this.forget(ticket.request, entry);
+            this.forget(ticket.request, remote);
             return { kind: "refusal", refusal: decision.extract() as Refusal };
         }
         const grant = decision.extract() as Grant;
-        entry.grant = grant;
-        if (!channel.isOpen) this.abandon(ticket.request, entry);
+        remote.grant = grant;
+        if (!channel.isOpen) this.abandon(ticket.request, remote);
         return { kind: "grant", grant };
     }
 
     private adopt({ ticket, grant, runningMs }: AdoptNotice, channel: PeerChannel): void {
-        if (this.remote.has(ticket.request)) return;
-        this.remember(ticket.request, channel).grant = grant;
+        if (this.remoteTickets.has(ticket.request)) return;
+        this.track(ticket.request, channel).grant = grant;
         this.local.adopt(ticket, grant, runningMs);
     }
 
-    /** A request that was abandoned before is counted already. */
+    /** Counts a completion; that of an abandoned request has been counted already. */
     private complete(completion: Completion): void {
-        const entry = this.remote.get(completion.request);
-        if (!entry) return;
-        this.forget(completion.request, entry);
+        const remote = this.remoteTickets.get(completion.request);
+        if (!remote) return;
+        this.forget(completion.request, remote);
         this.local.complete(completion);
     }
 
-    private remember(request: RequestId, channel: PeerChannel): RemoteTicket {
-        const entry: RemoteTicket = { channel, abort: new AbortController() };
-        this.remote.set(request, entry);
+    private track(request: RequestId, channel: PeerChannel): RemoteTicket {
+        const remote: RemoteTicket = { channel, abort: new AbortController() };
+        this.remoteTickets.set(request, remote);
         const known = this.byChannel.get(channel);
         if (known) {
             known.add(request);
-            return entry;
+            return remote;
         }
         this.byChannel.set(channel, new Set([request]));
         void channel.closed.then(() => this.abandonAll(channel));
-        return entry;
+        return remote;
     }
 
     private abandonAll(channel: PeerChannel): void {
         const requests = this.byChannel.get(channel) ?? [];
         this.byChannel.delete(channel);
         for (const request of requests) {
-            const entry = this.remote.get(request);
-            if (entry?.channel === channel) this.abandon(request, entry);
+            const remote = this.remoteTickets.get(request);
+            if (remote?.channel === channel) this.abandon(request, remote);
         }
     }
 
-    private abandon(request: RequestId, entry: RemoteTicket): void {
-        if (this.remote.get(request) !== entry) return;
-        entry.abort.abort();
-        if (!entry.grant) return;
-        this.forget(request, entry);
+    private abandon(request: RequestId, remote: RemoteTicket): void {
+        if (this.remoteTickets.get(request) !== remote) return;
+        remote.abort.abort();
+        if (!remote.grant) return;
+        this.forget(request, remote);
         this.local.complete({
             request,
-            upstream: entry.grant.upstream,
+            upstream: remote.grant.upstream,
             outcome: "cancelled",
             promptTokens: 0,
             cachedTokens: 0,
@@ -167,9 +168,9 @@
         });
     }
 
-    private forget(request: RequestId, entry: RemoteTicket): void {
-        if (this.remote.get(request) !== entry) return;
-        this.remote.delete(request);
-        this.byChannel.get(entry.channel)?.delete(request);
+    private forget(request: RequestId, remote: RemoteTicket): void {
+        if (this.remoteTickets.get(request) !== remote) return;
+        this.remoteTickets.delete(request);
+        this.byChannel.get(remote.channel)?.delete(request);
     }
 }
--- a/src/entry/refusalError/index.ts
+++ b/src/entry/toRefusalError/index.ts
@@ -16,9 +16,9 @@
 };
 
 /**
- * Turns a dispatcher's refusal into the caller's error.
+ * Converts a dispatcher's refusal to the error that the caller receives.
  *
- * @param outcome - "not-run" unless an earlier attempt has run.
+ * @param outcome - "not-run" unless an earlier attempt may have run.
  */
 export function toRefusalError(refusal: Refusal, outcome: Outcome): CallerError {
     const status = refusal.reason === "over-limit" ? TOO_MANY : UNAVAILABLE;
--- a/src/entry/trackRequest/index.ts
+++ b/src/entry/trackRequest/index.ts
@@ -5,7 +5,7 @@
 import { ClassView, WorkspaceView } from "../../workspace/index.js";
 import { EntryContext } from "../entryContext/index.js";
 
-/** What is known of a request that was found good. */
+/** Identity of a validated request, its workspace and its service class. */
 export interface TrackedRequest {
     readonly id: RequestId;
     readonly keyHash: KeyHash;
@@ -14,24 +14,24 @@
     readonly pool: PoolId;
 }
 
-/** What became of a request. */
-export interface RequestEnd {
+/** Result of a request. */
+export interface RequestResult {
     readonly outcome: Outcome;
-    /** Tokens of its answer. */
+    /** Number of tokens of its answer. */
     readonly tokens: number;
 }
 
 /**
- * Runs a request under the registry's eyes: it is cancelled when its caller goes or its key is withdrawn, and its end is
- * noted, counted and logged.
+ * Runs a request that is registered while it runs: it is cancelled when its caller disconnects or its key is withdrawn, and its
+ * result is recorded, counted and logged.
  *
- * @param work - Brings the request to its final answer.
+ * @param work - Runs the request to its final answer.
  */
 export async function trackRequest(
     ctx: EntryContext,
     req: HttpRequest,
     { id, keyHash, workspace, classView, pool }: TrackedRequest,
-    work: (run: RunningRequest) => Promise<RequestEnd>,
+    work: (run: RunningRequest) => Promise<RequestResult>,
 ): Promise<void> {
     const identity = { id, keyHash, workspace: workspace.id, className: classView.name, tier: classView.tier, pool };
     const run = new RunningRequest(identity, ctx.clock);
@@ -40,14 +40,14 @@
     // The key may have been withdrawn while the body was read.
     if (!ctx.control.findWorkspace(keyHash)) run.cancel("key-withdrawn");
     try {
-        noteEnd(ctx, run, await work(run));
+        recordEnd(ctx, run, await work(run));
     }
     finally {
         ctx.requests.finish(run);
     }
 }
 
-function noteEnd(ctx: EntryContext, run: RunningRequest, { outcome, tokens }: RequestEnd): void {
+function recordEnd(ctx: EntryContext, run: RunningRequest, { outcome, tokens }: RequestResult): void {
     const { id, workspace, className, pool } = run.identity;
     const tags = { workspace, class: className };
     run.noteEnd(outcome);
--- a/src/entry/usageMeter/test.ts
+++ b/src/entry/usageMeter/test.ts
@@ -4,7 +4,7 @@
 import { SilentLogger } from "../../logging/index.js";
 import { VirtualClock } from "../../ports/index.js";
 import { UsageBatchCommand } from "../../usage/index.js";
-import { FakeControl, FakeHolder } from "../fixtures/index.js";
+import { FakeBatchBackup, FakeControl } from "../fixtures/index.js";
 import { UsageMeter } from "./index.js";
 
 const LINE = {
@@ -19,9 +19,16 @@
 function startMeter() {
     const clock = new VirtualClock();
     const control = new FakeControl();
-    const holder = new FakeHolder();
+    const holder = new FakeBatchBackup();
     const self = { host: "entry-1" as HostId, incarnation: "i" as Incarnation };
-    const meter = new UsageMeter({ clock, self, windowMs: 60_000, holder, control, logger: new SilentLogger() });
+    const meter = new UsageMeter({
+        clock,
+        self,
+        windowMs: 60_000,
+        backup: holder,
+        control,
+        logger: new SilentLogger(),
+    });
     const abort = new AbortController();
     void meter.run(abort.signal);
     return { clock, control, holder, meter };
@@ -35,14 +42,14 @@
             assert.equal(holder.held.length, 1);
         });
 
-        it("goes straight to the control log when no other host can hold it", async () => {
+        it("submits the batch to the control log when no other host can hold it", async () => {
             const { clock, control, holder, meter } = startMeter();
             holder.reachable = false;
             await clock.runUntil(meter.record(LINE), 100);
             assert.equal(control.commands.length, 1);
         });
 
-        it("adds up what comes while a batch is under way", async () => {
+        it("sums lines that arrive while a batch is being backed up", async () => {
             const { clock, holder, meter } = startMeter();
             await clock.runUntil(Promise.all([meter.record(LINE), meter.record(LINE), meter.record(LINE)]), 100);
             const requests = holder.held.map(batch => batch.sums[0].line.requests);
@@ -51,10 +58,9 @@
     });
 
     describe("run", () => {
-        it("hands each batch in under its own number until it is taken, unchanged", async () => {
-            // A workspace is billed twice for one answer.
-            // The answer to a batch is lost, more usage comes, and the batch is sent again with the new usage in it.
-            // Cause: a batch that changes after it has a number is another batch under the same number.
+        it("resubmits each batch unchanged under its own number until it is accepted", async () => {
+            // Failure: a workspace is billed twice for one answer. The reply to a batch is lost, more usage arrives, and the batch is
+            // resubmitted with the new usage in it, which makes it a different batch under the same number.
             const { clock, control, holder, meter } = startMeter();
             control.reachable = false;
             await clock.runUntil(meter.record(LINE), 100);
