--- a/src/entry/crashingRequests/test.ts
+++ b/src/entry/crashingRequests/test.ts
@@ -34,8 +34,8 @@
     /** Sends the request repeatedly, each time with a new id and through the next entry. */
     async function repeat(running: RoutedFleet, times: number, pauseMs: number): Promise<TestReply[]> {
         const replies: Promise<TestReply>[] = [];
-        for (let time = 0; time < times; time++) {
-            replies.push(running.startCall({ entry: time % ENTRIES, path: PATH, key: KEY, body: CRASHING }));
+        for (let round = 0; round < times; round++) {
+            replies.push(running.startCall({ entry: round % ENTRIES, path: PATH, key: KEY, body: CRASHING }));
             await running.pass(pauseMs);
         }
         return running.run(Promise.all(replies));
@@ -101,8 +101,8 @@
     it("does not affect requests that ran concurrently, nor other requests of its caller", async () => {
         const running = await startFleet();
         const others: Promise<TestReply>[] = [];
-        for (let time = 0; time < 20; time++) {
-            others.push(running.startCall({ entry: time % ENTRIES, path: PATH, key: KEY, body: `sound ${time}` }));
+        for (let round = 0; round < 20; round++) {
+            others.push(running.startCall({ entry: round % ENTRIES, path: PATH, key: KEY, body: `sound ${round}` }));
             await repeat(running, 1, 350);
         }
         const replies = await running.run(Promise.all(others));
@@ -152,7 +152,7 @@
         // Otherwise the entry would continue to send the request while its crash report waits for control.
         const running = await startFleet({}, { keyless: true });
         for (let number = 0; number < 5; number++) await running.killControl(number);
-        for (let time = 0; time < 8; time++) {
+        for (let round = 0; round < 8; round++) {
             await running.call({ entry: 0, path: PATH, body: CRASHING });
             await running.pass(100);
         }
@@ -179,8 +179,8 @@
         const running = new RoutedFleet({ entries: ENTRIES, upstreams, queueHosts: true });
         await running.start(makeDocument(PARTS));
         for (const upstream of running.upstreams) upstream.faults.push("lost", "lost");
-        for (let time = 0; time < 6; time++) {
-            const reply = await running.call({ entry: time % ENTRIES, path: PATH, key: KEY, body: CRASHING });
+        for (let round = 0; round < 6; round++) {
+            const reply = await running.call({ entry: round % ENTRIES, path: PATH, key: KEY, body: CRASHING });
             assert.equal(reply.status, 502);
             await running.pass(500);
         }
--- a/src/entry/demandReporter/test.ts
+++ b/src/entry/demandReporter/test.ts
@@ -39,33 +39,33 @@
 
 describe("DemandReporter", () => {
     it("reports a pool that it owns with its upstreams", async () => {
-        const bench = new Harness();
-        await bench.clock.advance(9_000);
-        bench.close();
-        assert.ok(bench.reports.length >= 2);
-        assert.equal(bench.reports[0].pools.length, 1);
-        assert.equal(bench.reports[0].pools[0].upstreams.length, 1);
+        const harness = new Harness();
+        await harness.clock.advance(9_000);
+        harness.close();
+        assert.ok(harness.reports.length >= 2);
+        assert.equal(harness.reports[0].pools.length, 1);
+        assert.equal(harness.reports[0].pools[0].upstreams.length, 1);
     });
 
     it("reports nothing of pools that others own", async () => {
-        const bench = new Harness();
-        bench.owner = "entry-2" as HostId;
-        await bench.clock.advance(9_000);
-        bench.close();
-        assert.deepEqual(bench.reports, []);
+        const harness = new Harness();
+        harness.owner = "entry-2" as HostId;
+        await harness.clock.advance(9_000);
+        harness.close();
+        assert.deepEqual(harness.reports, []);
     });
 
     // Failure: all upstreams of a pool are bought a second time. The owner of the queue and its successor are lost together, and
     // the third host, which knows few of the upstreams yet, reports these as if they were all.
     it("waits until upstreams have had time to announce themselves to a new owner", async () => {
-        const bench = new Harness();
-        bench.owner = "entry-2" as HostId;
-        await bench.clock.advance(9_000);
-        bench.owner = SELF;
-        await bench.clock.advance(3_900);
-        assert.deepEqual(bench.reports, []);
-        await bench.clock.advance(4_100);
-        bench.close();
-        assert.ok(bench.reports.length > 0);
+        const harness = new Harness();
+        harness.owner = "entry-2" as HostId;
+        await harness.clock.advance(9_000);
+        harness.owner = SELF;
+        await harness.clock.advance(3_900);
+        assert.deepEqual(harness.reports, []);
+        await harness.clock.advance(4_100);
+        harness.close();
+        assert.ok(harness.reports.length > 0);
     });
 });
--- a/src/entry/engineStream/index.ts
+++ b/src/entry/engineStream/index.ts
@@ -119,7 +119,9 @@
 
 /** Parses events in order and passes their tokens to the sink. */
 class EventReader {
+    /** Set once the terminal event has been read. */
     end: EngineStreamEnd | undefined;
+    /** Finish reason and usage received, while the terminal event is outstanding. */
     private last: EngineStreamEnd | undefined;
 
     constructor(
--- a/src/entry/entryProcess/index.ts
+++ b/src/entry/entryProcess/index.ts
@@ -71,9 +71,11 @@
     readonly controlPeers: readonly Address[];
     /** Settings of routing by the fleet document; undefined: calls are not routed by a fleet document. */
     readonly routes?: RouteServiceSettings;
+    /** Timing of the upstream registry, where it differs from the default. */
     readonly registryTiming?: RegistryTiming;
     readonly callerLimits: HttpLimits;
     readonly limits: EntryLimits;
+    /** Timing of peer connections. */
     readonly timing: PeerTiming;
     /** Length of a usage window, in milliseconds. */
     readonly windowMs: number;
@@ -96,7 +98,9 @@
     readonly requests = new RequestRegistry();
     readonly registry: UpstreamRegistry;
     readonly control: FleetControl;
+    /** Queues of the pools that this process owns. */
     readonly local: LocalDispatcher;
+    /** Submits tickets to the owners of the queues. */
     readonly dispatcher: FleetDispatcher;
     readonly meter: UsageMeter;
     /** Service for calls routed by the fleet document; undefined where the options have no `routes`. */
@@ -117,6 +121,7 @@
     private readonly crashMonitor: CrashMonitor;
     private readonly trueTime: TrueTime;
     private draining = false;
+    /** Set once the load balancer has had time to notice the drain. */
     private refusingRequests = false;
     private callerListener: Listener | undefined;
 
--- a/src/entry/limitedUpstreams/test.ts
+++ b/src/entry/limitedUpstreams/test.ts
@@ -78,7 +78,7 @@
         running.upstreams[0].nameLimit(1);
         await running.run(Promise.all(await sendLoad(running, 4)));
         const since = running.clock.monotonic();
-        for (let time = 0; time < 2; time++) {
+        for (let round = 0; round < 2; round++) {
             await running.killControl(running.queueOwner(POOL));
             await running.run(Promise.all(await sendLoad(running, 4)));
         }
--- a/src/entry/peerDirectory/index.ts
+++ b/src/entry/peerDirectory/index.ts
@@ -21,16 +21,19 @@
     readonly ownsQueues?: boolean;
 }
 
+/** A link, and the address that it connects to. */
 interface OpenLink {
     readonly address: string;
     readonly link: PeerLink;
     readonly lifecycle: Lifecycle;
 }
 
+/** Lists of hosts derived from the entries that the holder reports. */
 interface PeerLists {
     readonly entries: readonly EntryView[];
     /** Monotonic time at which the next suspicion ends and the lists must be rebuilt, in milliseconds. */
     readonly validUntil: number;
+    /** All entries, including draining and suspected ones. */
     readonly byHost: ReadonlyMap<HostId, EntryView>;
     readonly queueHosts: readonly HostId[];
     readonly callerHosts: readonly HostId[];
@@ -55,6 +58,7 @@
  */
 export class PeerDirectory {
     private readonly links = new Map<HostId, OpenLink>();
+    /** Monotonic time at which the suspicion of each host ends, in milliseconds. */
     private readonly suspects = new Map<HostId, number>();
     private peers = NO_PEERS;
 
@@ -119,12 +123,12 @@
         for (const [host, until] of this.suspects) {
             if (until <= now) this.suspects.delete(host);
         }
-        const eligible = entries.filter(({ host, draining }) => !draining && !this.suspects.has(host as HostId));
-        const hostsOf = (ownsQueuesOnly: boolean): HostId[] => {
-            const hosts = eligible.filter(entry => (entry.ownsQueues ?? false) === ownsQueuesOnly).map(({ host }) =>
+        const usable = entries.filter(({ host, draining }) => !draining && !this.suspects.has(host as HostId));
+        const hostsOf = (dedicated: boolean): HostId[] => {
+            const hosts = usable.filter(entry => (entry.ownsQueues ?? false) === dedicated).map(({ host }) =>
                 host as HostId
             );
-            return ownsQueues !== ownsQueuesOnly || hosts.includes(self.host) ? hosts : [...hosts, self.host];
+            return ownsQueues !== dedicated || hosts.includes(self.host) ? hosts : [...hosts, self.host];
         };
         const validUntil = Math.min(Number.POSITIVE_INFINITY, ...this.suspects.values());
         const callerHosts = hostsOf(false);
--- a/src/entry/routeService/index.ts
+++ b/src/entry/routeService/index.ts
@@ -48,6 +48,7 @@
     readonly registry: UpstreamRegistry;
     readonly requests: RequestRegistry;
     readonly dispatcher: Dispatcher;
+    /** Quarantine of requests that crash upstreams. */
     readonly crashes: CrashGuard;
     /** Clock that is synchronized with the control processes. */
     readonly time: TrueTime;
--- a/src/entry/runService/index.ts
+++ b/src/entry/runService/index.ts
@@ -48,14 +48,14 @@
         const decision = await ctx.dispatcher.submit(makeTicket(prepared, run, self, avoid), run.signal);
         if (decision.isLeft()) {
             await record.finish("not-run");
-            return errorResult(makeRefusal(run, decision.extract() as Refusal, false));
+            return errorResult(describeRefusal(run, decision.extract() as Refusal, false));
         }
         const grant = decision.extract() as Grant;
-        const preventing = checkBeforeSend(ctx, prepared, run);
-        if (preventing) {
+        const blockedBy = checkBeforeSend(ctx, prepared, run);
+        if (blockedBy) {
             completeGrant(ctx, run, grant, "unused");
             await record.finish("not-run");
-            return errorResult(preventing);
+            return errorResult(blockedBy);
         }
         run.mustFinish = true;
         const result = await sendGranted(ctx, prepared, run, grant);
@@ -88,7 +88,7 @@
     ctx.retryBudget.noteFirstAttempt();
     for (;;) {
         const decision = await ctx.dispatcher.submit(makeTicket(prepared, run, self, avoid), run.signal);
-        if (decision.isLeft()) return errorResult(makeRefusal(run, decision.extract() as Refusal, mayHaveRun));
+        if (decision.isLeft()) return errorResult(describeRefusal(run, decision.extract() as Refusal, mayHaveRun));
         const grant = decision.extract() as Grant;
         const leftMs = ctx.crashGuard.quarantineLeftMs(prepared.fingerprint);
         if (leftMs !== undefined) {
@@ -182,7 +182,7 @@
     return { kind: "error", err };
 }
 
-function makeRefusal(run: RunningRequest, refusal: Refusal, mayHaveRun: boolean): CallerError {
+function describeRefusal(run: RunningRequest, refusal: Refusal, mayHaveRun: boolean): CallerError {
     run.noteRefusal(refusal.reason, refusal.detail);
     const outcome = failureOutcome(mayHaveRun);
     return run.isCancelled ? cancelError(run, outcome) : toRefusalError(refusal, outcome);
--- a/src/entry/serveCallers/test.ts
+++ b/src/entry/serveCallers/test.ts
@@ -61,7 +61,7 @@
         await engine.close();
     });
 
-    async function ask(request: RawRequest): Promise<RawAnswer | undefined> {
+    async function sendRequest(request: RawRequest): Promise<RawAnswer | undefined> {
         const caller = await RawCaller.connect(address);
         caller.send(format(request));
         const answer = await caller.readAnswer();
@@ -71,35 +71,55 @@
 
     describe("refuses before anything runs:", () => {
         const cases: readonly (readonly [what: string, request: RawRequest, status: number, type: string])[] = [
-            ["a body that is no JSON", { body: "{\"model\":" }, 400, "malformed"],
-            ["a body that is another JSON", { body: "[1]" }, 400, "malformed"],
+            ["a body that is not JSON", { body: "{\"model\":" }, 400, "malformed"],
+            ["a body that is a JSON array", { body: "[1]" }, 400, "malformed"],
             ["a chat without messages", { body: "{\"model\":\"draft\",\"messages\":[]}" }, 400, "malformed"],
-            ["a model that it does not have", { body: JSON.stringify({ ...CHAT, model: "x" }) }, 404, "pool-unknown"],
+            [
+                "a model that the workspace lacks",
+                { body: JSON.stringify({ ...CHAT, model: "x" }) },
+                404,
+                "pool-unknown",
+            ],
             ["no key", { headers: [] }, 401, "key-missing"],
-            ["another scheme", { headers: ["authorization: Basic c3F4"] }, 401, "key-missing"],
-            ["a key of another form", { headers: ["authorization: Bearer sqx_12"] }, 401, "key-missing"],
+            [
+                "an authorization scheme other than Bearer",
+                { headers: ["authorization: Basic c3F4"] },
+                401,
+                "key-missing",
+            ],
+            ["a malformed key", { headers: ["authorization: Bearer sqx_12"] }, 401, "key-missing"],
             ["two keys", { headers: [AUTHORIZATION, AUTHORIZATION] }, 400, "key-ambiguous"],
             ["an unknown key", { headers: [`authorization: Bearer sqx_${"1".repeat(32)}`] }, 401, "key-unknown"],
-            ["a class that it lacks", { headers: [AUTHORIZATION, "x-sequoiamux-class: x"] }, 400, "class-unknown"],
-            ["a method", { method: "DELETE" }, 405, "method-unknown"],
-            ["a service's method", { method: "TRACE", path: "/v1/services/orders/" }, 405, "method-unknown"],
-            ["a path", { path: "/v2/chat" }, 404, "not-found"],
+            [
+                "a class that the workspace lacks",
+                { headers: [AUTHORIZATION, "x-sequoiamux-class: x"] },
+                400,
+                "class-unknown",
+            ],
+            ["an unsupported method for chats", { method: "DELETE" }, 405, "method-unknown"],
+            [
+                "an unsupported method for services",
+                { method: "TRACE", path: "/v1/services/orders/" },
+                405,
+                "method-unknown",
+            ],
+            ["an unknown path", { path: "/v2/chat" }, 404, "not-found"],
             ["a body over the limit", { body: "x".repeat(BODY_BYTES + 1) }, 413, "body-too-large"],
             ["headers over the limit", { headers: [`x-large: ${"x".repeat(8_192)}`] }, 431, "headers-too-large"],
-            ["bytes that are no HTTP", { method: "\u0001" }, 400, "malformed"],
+            ["bytes that are not HTTP", { method: "\u0001" }, 400, "malformed"],
         ];
         for (const [what, request, status, type] of cases) {
             it(what, async () => {
-                assert.deepEqual(readError(await ask(request)), [status, type, "not-run"]);
+                assert.deepEqual(readError(await sendRequest(request)), [status, type, "not-run"]);
                 assert.equal(server.dispatcher.tickets.length, 0);
             });
         }
 
-        it("a key that was withdrawn", async () => {
+        it("a withdrawn key", async () => {
             const { workspaces } = server.control;
             const hotel = workspaces.get(hashKey(HOTEL_KEY))!;
             workspaces.delete(hashKey(HOTEL_KEY));
-            const answer = await ask({});
+            const answer = await sendRequest({});
             workspaces.set(hashKey(HOTEL_KEY), hotel);
             assert.deepEqual(readError(answer), [401, "key-unknown", "not-run"]);
         });
--- a/src/entry/startCountReporter/index.ts
+++ b/src/entry/startCountReporter/index.ts
@@ -32,9 +32,11 @@
  * counts once it holds the lease.
  */
 export class StartCountReporter {
+    /** Windows sent to the holder alone. */
     private toHolder = new SentWindows();
-    /** Incarnation of the control process that `sentToHolder` refers to. */
+    /** Incarnation of the control process that `toHolder` refers to. */
     private holderIncarnation: Incarnation | undefined;
+    /** Windows sent to all control processes. */
     private readonly toAll = new SentWindows();
     private ticks = 0;
     private pendingReport: Timer | undefined;
@@ -91,7 +93,7 @@
         holderLink()?.notify(STARTS_METHOD, this.encode(meter.takeNews()));
     }
 
-    /** Encodes a report. Only reports of all counts advance `completeAt`, since reports of new counts alone may be lost. */
+    /** Encodes a report. Only reports of all counts advance `wholeAt`, since reports of new counts alone may be lost. */
     private encode(windows: readonly StartWindow[], isLast = false): EncodedBody {
         const { host, incarnation } = this.options.self;
         const end = isLast ? { isLast } : {};
--- a/src/entry/startCountReporter/test.ts
+++ b/src/entry/startCountReporter/test.ts
@@ -22,14 +22,14 @@
     }
 
     /** Highest reported count of the butcher's request starts. */
-    get counted(): number {
+    get highestCount(): number {
         const counts = this.reports.flatMap(({ windows }) => windows.map(window => window.counts[BUTCHER] ?? 0));
         return Math.max(0, ...counts);
     }
 }
 
 describe("StartCountReporter", () => {
-    function makeSender() {
+    function makeReporter() {
         const clock = new VirtualClock();
         const time = new TrueTime(clock);
         const meter = new StartMeter(WINDOW_MS);
@@ -37,53 +37,53 @@
         const links = ["control-1", "control-2"].map(makeLink);
         const state = { holder: links[0] };
         const self = { host: "entry-1" as HostId, incarnation: "1" as Incarnation };
-        const sender = new StartCountReporter({ clock, self, meter, time, links, holderLink: () => state.holder });
+        const reporter = new StartCountReporter({ clock, self, meter, time, links, holderLink: () => state.holder });
         const stop = new AbortController();
-        void sender.run(stop.signal);
-        const note = (): void => meter.note(BUTCHER, time.now());
-        return { clock, links, state, note, stop, sender };
+        void reporter.run(stop.signal);
+        const recordStart = (): void => meter.note(BUTCHER, time.now());
+        return { clock, links, state, recordStart, stop, reporter };
     }
 
     it("reports a new count to the holder within tens of milliseconds", async () => {
-        const { clock, links: [holder, other], note, stop } = makeSender();
+        const { clock, links: [holder, other], recordStart, stop } = makeReporter();
         await clock.advance(600);
-        note();
+        recordStart();
         await clock.advance(30);
-        assert.deepEqual([holder.counted, other.counted], [1, 0]);
+        assert.deepEqual([holder.highestCount, other.highestCount], [1, 0]);
         stop.abort();
     });
 
     it("marks the last report when the entry stops", async () => {
-        const { links, note, stop, sender } = makeSender();
-        note();
-        sender.sendToAll(true);
+        const { links, recordStart, stop, reporter } = makeReporter();
+        recordStart();
+        reporter.sendToAll(true);
         assert.deepEqual(links.map(({ reports }) => reports.at(-1)?.isLast), [true, true]);
-        assert.deepEqual(links.map(({ counted }) => counted), [1, 1]);
+        assert.deepEqual(links.map(({ highestCount }) => highestCount), [1, 1]);
         stop.abort();
     });
 
     it("reports to all control processes occasionally", async () => {
-        const { clock, links: [, other], note, stop } = makeSender();
-        note();
+        const { clock, links: [, other], recordStart, stop } = makeReporter();
+        recordStart();
         await clock.advance(2_600);
-        assert.equal(other.counted, 1);
+        assert.equal(other.highestCount, 1);
         stop.abort();
     });
 
     it("sends all counts to a new holder, and to one that has restarted", async () => {
         // Otherwise a window would be billed in part: its counts were reported to a holder that was lost before it stored them.
-        const { clock, links: [first, second], state, note, stop } = makeSender();
-        note();
+        const { clock, links: [first, second], state, recordStart, stop } = makeReporter();
+        recordStart();
         await clock.advance(1_900);
-        assert.equal(first.counted, 1);
+        assert.equal(first.highestCount, 1);
         second.reports.length = 0;
         state.holder = second;
         await clock.advance(600);
-        assert.equal(second.counted, 1);
+        assert.equal(second.highestCount, 1);
         second.reports.length = 0;
         second.peer = { ...second.peer, incarnation: "2" as Incarnation };
         await clock.advance(1_100);
-        assert.equal(second.counted, 1);
+        assert.equal(second.highestCount, 1);
         stop.abort();
     });
 });
--- a/src/entry/ticketServer/index.ts
+++ b/src/entry/ticketServer/index.ts
@@ -20,7 +20,7 @@
     | { readonly kind: "grant"; readonly grant: Grant; }
     | { readonly kind: "refusal"; readonly refusal: Refusal; };
 
-/** Numbers of tokens received for requests since the last such notice. */
+/** Number of tokens received for each request since the last such notice. */
 export type ProgressNotice = readonly { readonly request: RequestId; readonly tokens: number; }[];
 
 /** A running grant made by a previous owner of the queue, reported to the new owner. */
@@ -68,20 +68,21 @@
 
     /**
      * @param local - Queues of this host.
-     * @param preemptHere - Called when a request whose caller is connected to this host is preempted.
+     * @param onLocalPreempt - Called when a request whose caller is connected to this host is preempted.
      */
     constructor(
         private readonly local: LocalDispatcher,
         private readonly clock: Clock,
-        preemptHere: (request: RequestId) => void,
+        onLocalPreempt: (request: RequestId) => void,
     ) {
         local.onPreempt(request => {
             const ticket = this.remoteTickets.get(request);
             if (ticket) ticket.channel.notify(DISPATCH_METHODS.preempt, request);
-            else preemptHere(request);
+            else onLocalPreempt(request);
         });
     }
 
+    /** Registers the methods that entries call. */
     addTo(router: PeerRouter): void {
         router.add(DISPATCH_METHODS.submit, (body, channel) => this.submit(body as Ticket, channel));
         router.add(DISPATCH_METHODS.cancel, body => {
--- a/src/entry/usageMeter/index.ts
+++ b/src/entry/usageMeter/index.ts
@@ -41,8 +41,11 @@
  * sink.finish("stop", usage);
  */
 export class UsageMeter {
+    /** Sums for the next batch, by window, workspace, pool and class. */
     private readonly openSums = new Map<string, UsageSum>();
-    private readonly unreported = new Map<number, UsageBatchCommand>();
+    /** Batches not yet accepted by the control log, by sequence number. */
+    private readonly uncommitted = new Map<number, UsageBatchCommand>();
+    /** Callbacks of the lines in the next batch, called once it is secured. */
     private waitingForBackup: (() => void)[] = [];
     private flushing = false;
     private nextSequence = 1;
@@ -51,7 +54,7 @@
 
     /** Number of batches that the control log does not have yet. */
     get backlog(): number {
-        return this.unreported.size;
+        return this.uncommitted.size;
     }
 
     /** Counts a line. Settles once the line would survive the loss of this host, or all attempts to secure it have failed. */
@@ -102,7 +105,7 @@
         const sums = [...this.openSums.values()];
         this.openSums.clear();
         const batch = { kind: "usage.batch", host, incarnation, sequence: this.nextSequence++, sums } as const;
-        this.unreported.set(batch.sequence, batch);
+        this.uncommitted.set(batch.sequence, batch);
         return batch;
     }
 
@@ -113,7 +116,7 @@
     }
 
     private async report(): Promise<void> {
-        const batches = [...this.unreported.values()];
+        const batches = [...this.uncommitted.values()];
         const results = await Promise.all(batches.map(batch => this.submit(batch)));
         const failed = results.filter(done => !done).length;
         if (failed > 0) this.options.logger.warn("usage-report-failed", { batches: failed });
@@ -122,7 +125,7 @@
     private async submit(batch: UsageBatchCommand): Promise<boolean> {
         const result = await this.options.control.command(batch, COMMAND_TIMEOUT_MS);
         if (result.isLeft()) return false;
-        this.unreported.delete(batch.sequence);
+        this.uncommitted.delete(batch.sequence);
         this.options.backup.release(batch.sequence);
         return true;
     }
