--- a/src/entry/backupBatchStore/index.ts
+++ b/src/entry/backupBatchStore/index.ts
@@ -13,8 +13,10 @@
     readonly sequence: number;
 }
 
+/** A batch held for another entry. */
 interface HeldBatch {
     readonly batch: UsageBatchCommand;
+    /** Monotonic time, in milliseconds. */
     readonly heldAt: number;
 }
 
--- a/src/entry/crashMonitor/index.ts
+++ b/src/entry/crashMonitor/index.ts
@@ -56,13 +56,17 @@
  */
 export class CrashMonitor extends CrashGuard {
     private readonly served: ServedRequests;
+    /** Upstreams waiting to be probed, by id and incarnation. */
     private readonly suspects = new Map<string, SuspectUpstream>();
+    /** Crashes not yet accepted by the control log. */
     private unreported: UpstreamCrash[] = [];
     /** Quarantine from crashes not yet reported. Without it, an entry that is cut off would crash one upstream after another. */
     private readonly localQuarantine = new QuarantineTable();
+    /** Index of the last change of the local quarantine, which stands in for a log index. */
     private localIndex = 0;
     /** Revision at which the last report was applied. */
     private reportedRevision = 0;
+    /** Opened when there is a crash to report. */
     private readonly reportPending = new Gate();
     /** Quarantined requests at the last view change, to log only differences. */
     private loggedQuarantine: ReadonlySet<RequestFingerprint> = new Set();
--- a/src/entry/engineStream/test.ts
+++ b/src/entry/engineStream/test.ts
@@ -91,7 +91,7 @@
     });
 
     it("reads the body to its end, so that its connection can be used again", async () => {
-        // Failure: first tokens are late, and hosts accumulate connections in TIME_WAIT. The reader stopped at the terminal event, and
+        // Failure: first tokens are late, and hosts accumulate connections that are being closed. The reader stopped at the terminal event, and
         // the HTTP client closes a connection whose body was not read to its end.
         let isReadToEnd = false;
         async function* body(): AsyncIterable<Uint8Array> {
--- a/src/entry/ticketServer/index.ts
+++ b/src/entry/ticketServer/index.ts
@@ -43,6 +43,7 @@
 interface RemoteTicket {
     readonly channel: PeerChannel;
     readonly abort: AbortController;
+    /** Set once the ticket is granted. */
     grant?: Grant;
 }
 
