--- a/src/consensus/applier/index.ts
+++ b/src/consensus/applier/index.ts
@@ -6,47 +6,48 @@
 import { StateMachine } from "../stateMachine/index.js";
 
 /**
- * Applies committed entries to the state machine, each once and in order.
+ * Applies committed entries to the state machine, each exactly once and in order.
  *
  * @example
  * const result = applier.apply(entry);
  */
 export class Applier {
-    private applied: LogIndex;
+    private lastAppliedIndex: LogIndex;
 
     /**
-     * @param stateMachine - Changed by this applier alone.
-     * @param snapshotIndex - Where the state that was restored stands.
+     * @param stateMachine - Modified only by this applier.
+     * @param snapshotIndex - Index of the restored state.
      */
     constructor(
         private readonly stateMachine: StateMachine,
         private readonly logger: Logger,
         snapshotIndex: LogIndex,
     ) {
-        this.applied = snapshotIndex;
+        this.lastAppliedIndex = snapshotIndex;
     }
 
-    /** The index of the last entry applied. */
+    /** Index of the last applied entry. */
     get appliedIndex(): LogIndex {
-        return this.applied;
+        return this.lastAppliedIndex;
     }
 
     /**
      * Applies the next entry.
      *
-     * @throws EntryVersionError when a newer version is needed; nothing is applied then, and nothing may be afterwards.
+     * @throws EntryVersionError when the entry requires a newer version. The entry is not applied then, and no later
+     * one may be.
      */
     apply(entry: StoredEntry): unknown {
         const payload = decodePayload(entry.payload);
         const result = this.applyPayload(entry, payload);
-        this.applied = entry.index;
+        this.lastAppliedIndex = entry.index;
         return result;
     }
 
-    /** Replaces the state by a snapshot's. */
+    /** Replaces the state with that of a snapshot. */
     restore(index: LogIndex, state: Uint8Array): void {
         this.stateMachine.restore(decodeValue(state));
-        this.applied = index;
+        this.lastAppliedIndex = index;
     }
 
     private applyPayload(entry: StoredEntry, payload: EntryPayload): unknown {
@@ -55,7 +56,8 @@
             return this.stateMachine.apply(payload.command, { index: entry.index, proposedAt: payload.at });
         }
         catch (err) {
-            // The same on each replica, so that the states stay alike; stopping would stop them all, at each restart again.
+            // The error occurs on every replica alike, so skipping the entry keeps their states identical. Stopping
+            // would stop all of them, again after each restart.
             this.logger.error("apply-failed", { index: entry.index, error: String(err) });
             return undefined;
         }
--- a/src/consensus/founding/test.ts
+++ b/src/consensus/clusterBootstrap/test.ts
@@ -8,16 +8,16 @@
 import { Address, MemoryDisk, SeededRandom, VirtualClock } from "../../ports/index.js";
 import { LogStore } from "../../store/index.js";
 import { PeerError, PeerLink } from "../../wire/index.js";
-import { StatusReply } from "../message/index.js";
+import { BootstrapStatusReply } from "../message/index.js";
 import { PeerLinks } from "../peerLinks/index.js";
 import { Replica } from "../replica/index.js";
-import { Founding } from "./index.js";
+import { ClusterBootstrap } from "./index.js";
 
-/** Answers each host's status as the test says. */
+/** Answers calls with the statuses that the test configured for each host. */
 class ScriptedLinks extends PeerLinks {
-    readonly statuses = new Map<string, StatusReply>();
+    readonly statuses = new Map<string, BootstrapStatusReply>();
 
-    override to(): PeerLink {
+    override linkTo(): PeerLink {
         return undefined as never;
     }
 
@@ -27,7 +27,7 @@
     }
 }
 
-function makeFounding(cluster: string, storeOfA: string): StatusReply {
+function makeBootstrappedStatus(cluster: string, storeOfA: string): BootstrapStatusReply {
     const member = { host: "a", storeId: storeOfA, address: { host: "a", port: 1 }, role: "voter", since: 0 };
     return { host: "a", storeId: storeOfA, cluster, founding: { members: [member], retired: [] } } as never;
 }
@@ -45,42 +45,42 @@
     const replica = new Replica({ host, store, stateMachine, clock, timing: FLEET_TIMING, logger, events });
     const links = new ScriptedLinks(undefined as never, new Lifecycle());
     const list = ["a", "b", "c"].map(name => ({ host: name as HostId, address: { host: name, port: 1 } }));
-    const founding = new Founding(replica, links, random, list[1], list);
+    const bootstrap = new ClusterBootstrap(replica, links, random, list[1], list);
     const task = new AbortController();
-    void founding.run(task.signal);
-    return { clock, disk, replica, links, founding };
+    void bootstrap.run(task.signal);
+    return { clock, disk, replica, links, bootstrap };
 }
 
-describe("Founding", () => {
-    it("follows the folder that it told that it has no history", async () => {
-        // A new installation never gets to work: one host refuses all others.
-        // The founder loses its disk and founds again; what it said before arrives late at a host that has answered the new one.
-        // Cause: that host follows the first founding, and the others the second.
-        const { clock, replica, links, founding } = await openHostB();
-        founding.answerStatus({ host: "a" as HostId, storeId: "a2" as StoreId });
-        links.statuses.set("a", makeFounding("first", "a1"));
+describe("ClusterBootstrap", () => {
+    it("joins only the cluster of the folder to which it reported that its own is empty", async () => {
+        // Prevents a new installation from never starting because one host refuses all others. The initiator loses its
+        // disk and bootstraps again, and its earlier reply arrives late at a host that has already answered the new
+        // folder. That host must not join the first cluster while the others join the second.
+        const { clock, replica, links, bootstrap } = await openHostB();
+        bootstrap.handleStatus({ host: "a" as HostId, storeId: "a2" as StoreId });
+        links.statuses.set("a", makeBootstrappedStatus("first", "a1"));
         await clock.advance(5_000);
         assert.equal(replica.cluster, undefined);
-        links.statuses.set("a", makeFounding("second", "a2"));
+        links.statuses.set("a", makeBootstrappedStatus("second", "a2"));
         await clock.advance(5_000);
         assert.equal(replica.cluster, "second");
     });
 
-    it("says nothing while it joins a cluster", async () => {
-        const { clock, disk, links, founding } = await openHostB();
+    it("rejects status requests while it joins a cluster", async () => {
+        const { clock, disk, links, bootstrap } = await openHostB();
         disk.syncMs = 50;
-        links.statuses.set("a", makeFounding("first", "a1"));
+        links.statuses.set("a", makeBootstrappedStatus("first", "a1"));
         await clock.advance(FLEET_TIMING.heartbeatMs / 4 + 10);
-        assert.throws(() => founding.answerStatus({ host: "a" as HostId, storeId: "a2" as StoreId }));
+        assert.throws(() => bootstrap.handleStatus({ host: "a" as HostId, storeId: "a2" as StoreId }));
         await clock.advance(100);
-        const { cluster } = founding.answerStatus({ host: "a" as HostId, storeId: "a2" as StoreId });
+        const { cluster } = bootstrap.handleStatus({ host: "a" as HostId, storeId: "a2" as StoreId });
         assert.equal(cluster, "first");
     });
 
-    it("waits until each host of the list has answered", async () => {
-        // Two halves of a new installation each work alone, and one half's changes are lost when they meet.
-        // Two of three hosts start; the third one is cut off, and nothing is known of it.
-        // Cause: a majority founds a cluster, while the third host may have the history of an older one.
+    it("waits until each host of the list has replied", async () => {
+        // Prevents two halves of a new installation from working separately, so that the changes of one are lost when
+        // they meet. Two of three hosts start and the third is unreachable. A majority must not bootstrap a cluster,
+        // since the third host may belong to an older one.
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.start("a");
         await fleet.start("b");
@@ -90,10 +90,10 @@
         await fleet.converge();
     });
 
-    it("does not found a second cluster after two hosts have lost their disks", async () => {
-        // The system comes back empty and takes orders that it had taken before.
-        // Two of three hosts lose their disks; they see each other before they see the third.
-        // Cause: two empty hosts look like a new installation.
+    it("does not bootstrap a second cluster after two hosts have lost their disks", async () => {
+        // Prevents the system from restarting empty and accepting orders again that it had accepted before. Two of
+        // three hosts lose their disks and contact each other before the third. Two empty hosts must not be mistaken
+        // for a new installation.
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
         await fleet.passUntil(() => fleet.isWhole());
@@ -109,10 +109,9 @@
         assert.equal(fleet.holder(), undefined);
     });
 
-    it("goes on after a full disk", async () => {
-        // A host never becomes a member although its disk has been cleared.
-        // Its disk is full when it hears of the new cluster.
-        // Cause: the failed write ends the replica. (Seed 1294 of the fault schedules.)
+    it("joins after its full disk was cleared", async () => {
+        // Prevents a host from never becoming a member after its full disk was cleared. The disk is full when the host
+        // discovers the new cluster, and the failed write must not end the replica. (Seed 1294 of the fault schedules.)
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
         fleet.find("c").disk.capacity = 1;
@@ -133,10 +132,10 @@
     });
 
     for (let seed = 1; seed <= 20; seed++) {
-        it(`leaves one cluster when the founder loses its disk meanwhile, seed ${seed}`, async () => {
-            // A new installation never gets to work: one host refuses all others.
-            // The founder's disk is replaced just after it founded the cluster; some hosts have heard of that, others not.
-            // Cause: a host follows the first founding after it told the second founder that it has no history.
+        it(`results in one cluster when the initiator loses its disk meanwhile, seed ${seed}`, async () => {
+            // Prevents a new installation from never starting because one host refuses all others. The initiator's disk
+            // is replaced just after it created the cluster, when only some hosts have discovered it. A host must not
+            // join the first cluster after it reported an empty folder to the second initiator.
             const random = new SeededRandom(seed);
             const fleet = new ReplicaFleet(random, ["a", "b", "c"]);
             await fleet.startAll();
--- a/src/consensus/controlLog/index.ts
+++ b/src/consensus/controlLog/index.ts
@@ -1,13 +1,13 @@
 import { Either } from "purify-ts";
 import { FencingToken, HostId, LogIndex } from "../../ids/index.js";
 
-/** An entry that was not, or may not have been, accepted. */
+/** Thrown for an entry that was not accepted, or may not have been. */
 export class ProposeError extends Error {
     /**
-     * @param reason - `not-holder`: ask the one in `holder`. `lost`: it may still be committed. `busy`: refused, too much
-     * waits. `stopped`: this replica has ended.
-     * @param mayCommit - False only when the entry can't be committed any more.
-     * @param holder - Who holds the lease, as far as is known.
+     * @param reason - `not-holder`: this replica does not hold the lease, so ask `holder`. `lost`: the entry may still
+     * be committed. `busy`: refused because too many proposals are pending. `stopped`: this replica has ended.
+     * @param mayCommit - False only when the entry can no longer be committed.
+     * @param holder - Host that holds the lease, as far as this replica knows.
      */
     constructor(
         readonly reason: "not-holder" | "lost" | "busy" | "stopped",
@@ -18,32 +18,36 @@
     }
 }
 
-/** The control log as the rest of a control process uses it. */
+/** Interface of the control log for the rest of a control process. */
 export abstract class ControlLog {
     /**
-     * Appends an entry and waits until it is committed and applied here.
+     * Appends an entry and waits until it is committed and applied on this replica.
      *
-     * @param command - A value msgpack can carry.
-     * @returns What the state machine gave for it.
+     * @param command - A value that msgpack can encode.
+     * @returns The state machine's result for the command.
      */
     abstract propose(command: unknown): Promise<Either<ProposeError, unknown>>;
 
     /**
-     * True while this replica alone may act: it leads, it has applied every entry committed before its term, and a
-     * quorum granted it a lease that has not run out on the monotonic clock. Synchronous, so that the check and an outside effect
-     * stand in one step: check it again after each await that comes before such an effect.
+     * Returns whether only this replica may act: it leads, it has applied every entry committed before its term, and a
+     * quorum granted it a lease that has not expired on the monotonic clock. Synchronous, so that the check and an
+     * external effect happen in one step: repeat the check after each await that precedes such an effect.
      */
     abstract holdsLease(): boolean;
 
-    /** The fencing token of the present holder's term; grows with each holder. */
+    /** Returns the fencing token of the current holder's term. It increases with each holder. */
     abstract fencingToken(): FencingToken;
 
-    /** Who holds the lease, as far as is known here. */
+    /** Returns the host that holds the lease, as far as this replica knows. */
     abstract holder(): HostId | undefined;
 
-    /** The index of the last entry applied here. */
+    /** Returns the index of the last entry applied on this replica. */
     abstract appliedIndex(): LogIndex;
 
-    /** Calls back at each change between holding the lease and not; gives a way to stop that. */
+    /**
+     * Registers a listener that is called whenever this replica gains or loses the lease.
+     *
+     * @returns A function that removes the listener.
+     */
     abstract onHolderChange(listener: (holds: boolean) => void): () => void;
 }
--- a/src/consensus/election/test.ts
+++ b/src/consensus/election/test.ts
@@ -3,11 +3,11 @@
 import { FLEET_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
 import { SeededRandom } from "../../ports/index.js";
 
-/** Elections start as soon as promises run out, which is when a second holder would be seen. */
-const EAGER = { ...FLEET_TIMING, electionSpreadMs: 10 };
-/** Just within the drift that the lease allows for. */
-const SLOW = 0.9901;
-const FAST = 1.0099;
+/** Short election delays, so that a premature election shows up as a second lease holder. */
+const EAGER_TIMING = { ...FLEET_TIMING, electionSpreadMs: 10 };
+/** Clock rates just within the drift that the lease allows for. */
+const SLOW_CLOCK_RATE = 0.9901;
+const FAST_CLOCK_RATE = 1.0099;
 const HOSTS = ["a", "b", "c"];
 
 async function startFleet(seed: number, timing = FLEET_TIMING) {
@@ -30,23 +30,23 @@
     describe("a holder that is cut off", () => {
         for (let seed = 1; seed <= 6; seed++) {
             it(`never holds the lease together with its successor when clocks drift, seed ${seed}`, async () => {
-                // Upstreams get orders from two hosts for a few milliseconds.
-                // The holder is cut off; its clock runs slow, the others' run fast; they elect another as soon as they may.
-                // Cause: the lease is counted without a margin for the drift of clocks.
-                const fleet = await startFleet(seed, EAGER);
+                // Prevents two hosts from sending orders to upstreams for a few milliseconds. The holder is cut off
+                // with a slow clock, and the others, whose clocks are fast, elect another leader as early as they may.
+                // The lease must include a margin for clock drift.
+                const fleet = await startFleet(seed, EAGER_TIMING);
                 fleet.latency = () => 0;
                 for (let round = 0; round < 4; round++) {
-                    for (const { host } of fleet.processes()) host.clock.setRate(FAST);
-                    fleet.holder()!.process!.host.clock.setRate(SLOW);
+                    for (const { host } of fleet.processes()) host.clock.setRate(FAST_CLOCK_RATE);
+                    fleet.holder()!.process!.host.clock.setRate(SLOW_CLOCK_RATE);
                     await cutOffHolder(fleet);
                 }
             });
 
-            it(`never holds it together with its successor when answers are slow, seed ${seed}`, async () => {
-                // Upstreams get orders from two hosts for a third of a second.
-                // Heartbeats arrive at once, their answers after 300 ms; then the holder is cut off.
-                // Cause: the lease is counted from the answer, and the promise behind it is older.
-                const fleet = await startFleet(seed, EAGER);
+            it(`never holds it together with its successor when replies are slow, seed ${seed}`, async () => {
+                // Prevents two hosts from sending orders to upstreams for a third of a second. Heartbeats arrive at
+                // once and their replies after 300 ms; then the holder is cut off. The lease must not be counted from
+                // the reply, because the promise behind it is older.
+                const fleet = await startFleet(seed, EAGER_TIMING);
                 const first = fleet.holder()!.name;
                 fleet.latency = (_from, to) => to === first ? 300 : 1;
                 await fleet.pass(5_000);
@@ -55,12 +55,12 @@
         }
     });
 
-    describe("a host that does not hear the holder", () => {
+    describe("a host that receives nothing from the holder", () => {
         for (let seed = 1; seed <= 6; seed++) {
             it(`is not elected by one that does, seed ${seed}`, async () => {
-                // Upstreams get orders from two hosts for half a second.
-                // The link between the holder and one host fails; both still reach the third.
-                // Cause: the third one votes although it has just renewed its promise to the holder.
+                // Prevents two hosts from sending orders to upstreams for half a second. The link between the holder
+                // and one host fails, and both still reach the third. The third host must not vote while its promise to
+                // the holder is in effect.
                 const fleet = await startFleet(seed);
                 const { name, process } = fleet.holder()!;
                 const other = HOSTS.find(host => host !== name)!;
@@ -77,10 +77,10 @@
     });
 
     describe("a new leader whose disk is slow", () => {
-        it("does not hold the lease before it has applied what was accepted", async () => {
-            // An order goes out twice: the new holder did not know of the outcome that was accepted.
-            // The holder goes down; the next leader's disk takes three seconds for each sync.
-            // Cause: heartbeats are answered at once, and the lease is taken before the term's first entry is applied.
+        it("does not hold the lease before it has applied all accepted entries", async () => {
+            // Prevents an order from being sent twice because the new holder does not know its accepted outcome. The
+            // holder goes down, and the next leader's disk takes three seconds for each sync. Heartbeats are answered
+            // at once, but the lease must not be held before the term's first entry is applied.
             const fleet = await startFleet(1);
             await fleet.proposeMany(20);
             const first = fleet.holder()!;
@@ -96,11 +96,11 @@
 
     describe("voters that restart within the lease", () => {
         for (let seed = 1; seed <= 8; seed++) {
-            it(`keep the promise they gave before, seed ${seed}`, async () => {
-                // Upstreams get orders from two hosts for a second.
-                // The holder is cut off, and the others are restarted at once, as in a rolling restart that meets a cut.
-                // Cause: the restarted hosts have forgotten their promise and elect another at once.
-                const fleet = await startFleet(seed, EAGER);
+            it(`respect promises from before the restart, seed ${seed}`, async () => {
+                // Prevents two hosts from sending orders to upstreams for a second. The holder is cut off and the
+                // others are restarted at once, as when a rolling restart coincides with a network failure. The
+                // restarted hosts have lost their promises and must not elect another leader immediately.
+                const fleet = await startFleet(seed, EAGER_TIMING);
                 const first = fleet.holder()!.name;
                 const others = HOSTS.filter(name => name !== first);
                 await fleet.pass(fleet.random.between(0, 500));
@@ -116,9 +116,9 @@
 
     describe("a host that was cut off and returns", () => {
         it("does not unseat the holder", async () => {
-            // Orders stop for seconds whenever a broken switch port comes back.
-            // A follower is cut off for a minute, counts up terms meanwhile, and returns.
-            // Cause: the holder gives way to the higher term.
+            // Prevents orders from stopping for seconds whenever a failed switch port recovers. A follower that was cut
+            // off for a minute, and would count up terms meanwhile, must not unseat the holder with a higher term when
+            // it returns.
             const fleet = await startFleet(1);
             const { name, process } = fleet.holder()!;
             const token = process!.log.fencingToken();
@@ -136,10 +136,11 @@
     });
 
     describe("a holder whose wall clock is set forward", () => {
-        it("leads on, and holds the lease again within two heartbeats", async () => {
-            // Changes are refused for two seconds whenever a time service corrects the clock of the host that leads.
-            // The jump looks like sleep; the leader steps down, and the others wait out their promise before they elect another.
-            // Cause: all its contacts seem older than a lease.
+        it("keeps leading, and holds the lease again within two heartbeats", async () => {
+            // Prevents changes from being refused for two seconds whenever a time service corrects the clock of the
+            // leader's host. The jump looks like a suspended machine and makes all contacts appear older than a lease.
+            // The leader must not step down, which would make the others wait for the end of their promises before they
+            // elect another leader.
             const fleet = await startFleet(1);
             const { process } = fleet.holder()!;
             const token = process!.log.fencingToken();
--- a/src/consensus/entryLog/index.ts
+++ b/src/consensus/entryLog/index.ts
@@ -2,7 +2,7 @@
 import { LogIndex, Term } from "../../ids/index.js";
 import { LogStore, StoredEntry, StoreError } from "../../store/index.js";
 
-const MOST_FLUSH_BYTES = 8 * 1024 * 1024;
+const MAX_FLUSH_BYTES = 8 * 1024 * 1024;
 
 interface DurableWaiter {
     readonly index: LogIndex;
@@ -10,17 +10,20 @@
     readonly reject: (err: StoreError) => void;
 }
 
-/** Told of what the log's writer did. */
+/** Callbacks for the results of the log's writer. */
 export interface EntryLogListener {
-    /** More entries are synced. */
+    /** Called after more entries have been synced. */
     onDurable(): void;
-    /** The disk failed. Entries that it did not take are gone from the log already when it was full. */
+    /**
+     * Called after a disk failure. If the disk was full, the entries that it did not accept have already been removed
+     * from the log.
+     */
     onStoreError(err: StoreError): void;
 }
 
 /**
- * The log behind its snapshot: entries are in memory at once, and on disk once the writer has synced them. All entries
- * that come while a sync runs go into the next one together (group commit).
+ * Log entries after the snapshot. Appended entries are available in memory at once and are on disk once the writer has
+ * synced them. Entries that arrive during a sync are written together in the next one (group commit).
  *
  * @example
  * log.append(entries);
@@ -29,30 +32,32 @@
 export class EntryLog {
     private readonly writer = new PQueue({ concurrency: 1 });
     private entries: StoredEntry[];
-    /** The index and term in front of the first entry. */
+    /** Index and term of the entry before the first one in `entries`. */
     private baseIndex: LogIndex;
     private baseTerm: Term;
-    private durable: LogIndex;
-    /** What the files hold; only the writer's jobs change it. */
-    private written: LogIndex;
-    /** How often entries were taken back; tells a flush that its batch may not stand any more. */
-    private cuts = 0;
-    private pendingCut: LogIndex | undefined;
+    private syncedIndex: LogIndex;
+    /** Last index in the files. Changed only by the writer's jobs. */
+    private writtenIndex: LogIndex;
+    /**
+     * Number of truncations. A flush compares it to detect that entries of its batch may have been removed meanwhile.
+     */
+    private truncationCount = 0;
+    private pendingTruncation: LogIndex | undefined;
     private failure: StoreError | undefined;
-    private flushIsDue = false;
+    private isFlushScheduled = false;
     private waiters: DurableWaiter[] = [];
 
     /**
-     * @param store - Opened; its entries are taken over.
-     * @param listener - Told of progress and failures.
+     * @param store - Opened store; the log takes over its entries.
+     * @param listener - Notified of progress and failures.
      */
     constructor(private readonly store: LogStore, private readonly listener: EntryLogListener) {
         this.entries = store.takeEntries();
         const first = this.entries.at(0);
         this.baseIndex = (first ? first.index - 1 : store.snapshot?.index ?? 0) as LogIndex;
         this.baseTerm = store.snapshot?.index === this.baseIndex ? store.snapshot.term : 0 as Term;
-        this.durable = this.lastIndex;
-        this.written = this.lastIndex;
+        this.syncedIndex = this.lastIndex;
+        this.writtenIndex = this.lastIndex;
     }
 
     get lastIndex(): LogIndex {
@@ -63,17 +68,17 @@
         return this.entries.at(-1)?.term ?? this.baseTerm;
     }
 
-    /** The first index whose entry is still here. */
+    /** Index of the first entry that has not been compacted. */
     get firstIndex(): LogIndex {
         return this.baseIndex + 1 as LogIndex;
     }
 
-    /** The last index synced here. */
+    /** Last index that is synced to the local disk. */
     get durableIndex(): LogIndex {
-        return this.durable;
+        return this.syncedIndex;
     }
 
-    /** The term at an index, or undefined when it is not known any more or not yet. */
+    /** Returns the term of an entry, or undefined when it has been compacted or does not exist yet. */
     termAt(index: LogIndex): Term | undefined {
         if (index === this.baseIndex) return this.baseIndex === 0 ? 0 as Term : this.baseTerm || undefined;
         return this.entryAt(index)?.term;
@@ -83,117 +88,124 @@
         return index <= this.baseIndex ? undefined : this.entries[index - this.baseIndex - 1];
     }
 
-    /** Entries from an index on, up to a total size (at least one). */
-    slice(from: LogIndex, mostBytes: number): StoredEntry[] {
-        const taken: StoredEntry[] = [];
+    /**
+     * Returns entries starting at an index, limited by their total payload size. Contains at least one entry if any
+     * exists.
+     */
+    slice(from: LogIndex, maxBytes: number): StoredEntry[] {
+        const batch: StoredEntry[] = [];
         let bytes = 0;
         for (let index = from; index <= this.lastIndex; index++) {
             const entry = this.entryAt(index)!;
             bytes += entry.payload.length;
-            if (taken.length > 0 && bytes > mostBytes) break;
-            taken.push(entry);
+            if (batch.length > 0 && bytes > maxBytes) break;
+            batch.push(entry);
         }
-        return taken;
+        return batch;
     }
 
-    /** Adds entries behind the last one; they are synced later. */
+    /** Appends entries after the last one and schedules their sync. */
     append(entries: readonly StoredEntry[]): void {
         for (const entry of entries) this.entries.push(entry);
         this.scheduleFlush();
     }
 
-    /** Cuts off the entry given and all behind it. */
+    /** Removes the entry at an index and all later entries. */
     truncateFrom(index: LogIndex): void {
-        this.forgetFrom(index, new StoreError("stale", `entry ${index} gave way to the leader's`));
-        this.cutFilesFrom(index);
+        this.discardFrom(index, new StoreError("stale", `entry ${index} gave way to the leader's`));
+        this.scheduleFileTruncation(index);
     }
 
-    /** Settles once an index is synced. */
+    /** Resolves once the entry at an index is synced. Rejects when the entry is removed or the log fails. */
     whenDurable(index: LogIndex): Promise<void> {
         if (this.failure) return Promise.reject(this.failure);
-        if (index <= this.durable) return Promise.resolve();
+        if (index <= this.syncedIndex) return Promise.resolve();
         return new Promise((resolve, reject) => this.waiters.push({ index, resolve, reject }));
     }
 
-    /** Drops entries up to an index, which a synced snapshot covers. */
-    compactTo(index: LogIndex): void {
+    /** Removes entries up to and including an index that a synced snapshot covers. */
+    compactThrough(index: LogIndex): void {
         const term = this.termAt(index);
         if (index <= this.baseIndex || term === undefined) return;
         this.entries = this.entries.slice(index - this.baseIndex);
         this.baseIndex = index;
         this.baseTerm = term;
-        void this.writer.add(() => this.guard(() => this.store.dropBefore(index)));
+        void this.writer.add(() => this.runWrite(() => this.store.dropBefore(index)));
     }
 
-    /** Drops all entries in favour of a snapshot that is synced already. */
-    resetTo(index: LogIndex, term: Term): void {
-        this.forgetFrom(this.firstIndex, new StoreError("stale", "a snapshot took the log's place"));
+    /** Replaces all entries by a snapshot that is already synced. */
+    resetToSnapshot(index: LogIndex, term: Term): void {
+        this.discardFrom(this.firstIndex, new StoreError("stale", "a snapshot took the log's place"));
         this.baseIndex = index;
         this.baseTerm = term;
-        this.durable = index;
-        this.cutFilesFrom(0 as LogIndex);
+        this.syncedIndex = index;
+        this.scheduleFileTruncation(0 as LogIndex);
     }
 
-    /** Waits for the writer to finish what it has. */
+    /** Rejects the waiters and waits for the writer's pending jobs. */
     async close(): Promise<void> {
         this.failure = new StoreError("stale", "the log is closed");
         this.rejectWaiters(0 as LogIndex, this.failure);
         await this.writer.onIdle();
     }
 
-    private forgetFrom(index: LogIndex, err: StoreError): void {
-        this.cuts++;
+    private discardFrom(index: LogIndex, err: StoreError): void {
+        this.truncationCount++;
         this.entries.length = Math.min(this.entries.length, Math.max(0, index - this.baseIndex - 1));
-        this.durable = Math.min(this.durable, index - 1) as LogIndex;
+        this.syncedIndex = Math.min(this.syncedIndex, index - 1) as LogIndex;
         this.rejectWaiters(index, err);
     }
 
-    private cutFilesFrom(index: LogIndex): void {
-        this.pendingCut = Math.min(this.pendingCut ?? index, index) as LogIndex;
+    private scheduleFileTruncation(index: LogIndex): void {
+        this.pendingTruncation = Math.min(this.pendingTruncation ?? index, index) as LogIndex;
         this.scheduleFlush();
     }
 
     private scheduleFlush(): void {
-        if (this.flushIsDue || this.failure) return;
-        this.flushIsDue = true;
-        void this.writer.add(() => this.guard(() => this.flush()));
+        if (this.isFlushScheduled || this.failure) return;
+        this.isFlushScheduled = true;
+        void this.writer.add(() => this.runWrite(() => this.flush()));
     }
 
     private async flush(): Promise<void> {
-        this.flushIsDue = false;
-        await this.cutFiles();
-        const cuts = this.cuts;
-        const batch = this.slice(this.written + 1 as LogIndex, MOST_FLUSH_BYTES);
+        this.isFlushScheduled = false;
+        await this.truncateFiles();
+        const truncationsBefore = this.truncationCount;
+        const batch = this.slice(this.writtenIndex + 1 as LogIndex, MAX_FLUSH_BYTES);
         await this.store.append(batch);
-        this.written = this.written + batch.length as LogIndex;
-        if (this.written < this.lastIndex) this.scheduleFlush();
-        // Entries of this batch may have been cut off meanwhile; the flush that follows the cut settles what stands.
-        if (cuts !== this.cuts) return;
-        this.durable = this.written;
+        this.writtenIndex = this.writtenIndex + batch.length as LogIndex;
+        if (this.writtenIndex < this.lastIndex) this.scheduleFlush();
+        // Entries of this batch may have been truncated during the write. The flush that follows the truncation reports
+        // the remaining ones.
+        if (truncationsBefore !== this.truncationCount) return;
+        this.syncedIndex = this.writtenIndex;
         this.settleWaiters();
         this.listener.onDurable();
     }
 
-    /** Brings the files to where the memory was cut. More cuts may come while one is made. */
-    private async cutFiles(): Promise<void> {
-        while (this.pendingCut !== undefined) {
-            const index = this.pendingCut;
-            this.pendingCut = undefined;
-            if (this.written < index) continue;
+    /** Applies pending truncations to the files. More may be requested while one is running. */
+    private async truncateFiles(): Promise<void> {
+        while (this.pendingTruncation !== undefined) {
+            const index = this.pendingTruncation;
+            this.pendingTruncation = undefined;
+            if (this.writtenIndex < index) continue;
             await this.store.truncateFrom(index);
-            this.written = Math.max(index - 1, this.baseIndex) as LogIndex;
+            this.writtenIndex = Math.max(index - 1, this.baseIndex) as LogIndex;
         }
     }
 
-    /** What a full disk did not take leaves the memory too, so that both go on alike; other failures end the log. */
-    private async guard(work: () => Promise<void>): Promise<void> {
+    /**
+     * Runs a job of the writer and handles its failure. Entries that a full disk did not accept are removed from memory
+     * too, so that memory and files agree. Any other failure ends the log.
+     */
+    private async runWrite(write: () => Promise<void>): Promise<void> {
         try {
-            await work();
+            await write();
         }
         catch (err) {
             const failure = err instanceof StoreError ? err : new StoreError("io", String(err));
             if (failure.reason === "full") {
-                this.forgetFrom(this.written + 1 as LogIndex, failure);
+                this.discardFrom(this.writtenIndex + 1 as LogIndex, failure);
             }
             else {
                 this.failure = failure;
@@ -204,8 +216,8 @@
     }
 
     private settleWaiters(): void {
-        const done = this.waiters.filter(waiter => waiter.index <= this.durable);
-        this.waiters = this.waiters.filter(waiter => waiter.index > this.durable);
+        const done = this.waiters.filter(waiter => waiter.index <= this.syncedIndex);
+        this.waiters = this.waiters.filter(waiter => waiter.index > this.syncedIndex);
         for (const waiter of done) waiter.resolve();
     }
 
--- a/src/consensus/entryLog/test.ts
+++ b/src/consensus/entryLog/test.ts
@@ -12,14 +12,14 @@
 async function openLog() {
     const clock = new VirtualClock();
     const disk = new MemoryDisk(clock);
-    const open = () => LogStore.open({ disk, random: new SeededRandom(1) });
-    const log = new EntryLog(await open(), { onDurable: () => undefined, onStoreError: () => undefined });
-    return { clock, disk, log, open };
+    const reopen = () => LogStore.open({ disk, random: new SeededRandom(1) });
+    const log = new EntryLog(await reopen(), { onDurable: () => undefined, onStoreError: () => undefined });
+    return { clock, disk, log, open: reopen };
 }
 
 describe("EntryLog", () => {
     describe("append", () => {
-        it("syncs what comes during a sync together with the next", async () => {
+        it("writes entries that arrive during a sync in the next sync", async () => {
             const { clock, disk, log } = await openLog();
             disk.syncMs = 10;
             for (let index = 1; index <= 50; index++) {
@@ -32,10 +32,9 @@
     });
 
     describe("a full disk", () => {
-        it("forgets what it did not take, so that the leader's resend is written", async () => {
-            // A host whose disk was full for a moment never catches up again.
-            // An entry does not fit; space comes back; the leader sends the entry once more.
-            // Cause: the entry is still in memory, so the resend looks like one that is written already.
+        it("removes entries that were not written, so that the leader's resend is stored", async () => {
+            // Prevents a host from never catching up after its disk was temporarily full. If the entry that did not fit
+            // stayed in memory, the leader's resend would look already written and would not be stored.
             const { clock, disk, log } = await openLog();
             disk.capacity = 1;
             log.append([makeEntry(1, 1)]);
@@ -47,11 +46,11 @@
         });
     });
 
-    describe("a cut while a sync is under way", () => {
+    describe("a truncation during a sync", () => {
         it("counts only the new entries as synced", async () => {
-            // An accepted entry is gone after a restart of two hosts.
-            // A new leader takes back entries that a follower is just syncing, and sends its own in their place.
-            // Cause: when the old sync ends, the follower takes its entries' places for synced and acknowledges the new ones.
+            // Prevents the loss of an accepted entry after a restart of two hosts. A new leader replaces entries that a
+            // follower is still syncing. If the end of the old sync counted for the new entries, the follower would
+            // acknowledge entries that are not on disk.
             const { clock, disk, log, open } = await openLog();
             disk.syncMs = 10;
             log.append([makeEntry(1, 1), makeEntry(2, 1)]);
--- a/src/consensus/entryPayload/index.ts
+++ b/src/consensus/entryPayload/index.ts
@@ -1,46 +1,51 @@
 import { decodeValue, encodeValue } from "../../wire/index.js";
 import { Configuration } from "../member/index.js";
 
-/** Raised when an entry is not understood by older versions at all; fields may be added without raising it. */
-const ENTRY_VERSION = 3;
-/** What each version understands: entries that say no other. */
-const FIRST_VERSION = 1;
+/**
+ * Newest entry version that this program can read. Raised when older programs can't read a new kind of entry; optional
+ * fields may be added without raising it.
+ */
+const SUPPORTED_ENTRY_VERSION = 3;
+/** Version that every program can read. Used for entries that require no newer one. */
+const BASE_ENTRY_VERSION = 1;
 
 /**
- * What an entry says. It travels and is stored as the bytes that its proposer encoded, so that a replica of an older
- * version passes on fields that it does not know.
+ * Content of an entry. It is sent and stored as the bytes that its proposer encoded, so a replica of an older version
+ * preserves fields that it does not know.
  */
 export type EntryPayload =
     | { readonly kind: "command"; readonly command: unknown; readonly at: number; }
     | { readonly kind: "members"; readonly configuration: Configuration; }
     | { readonly kind: "term-start"; };
 
-/** An entry that only a newer version understands. */
+/** Thrown for an entry that requires a newer version of the program. */
 export class EntryVersionError extends Error {
     constructor(readonly version: number) {
-        super(`an entry needs version ${version}; this program knows ${ENTRY_VERSION}`);
+        super(`an entry needs version ${version}; this program knows ${SUPPORTED_ENTRY_VERSION}`);
     }
 }
 
 /**
- * Writes an entry's payload.
+ * Encodes an entry's payload.
  *
- * @param version - The lowest version of programs that understand it; while a newer one is rolled out, entries of the first reach all.
+ * @param version - Lowest program version that can read the entry. The default keeps entries readable by all replicas
+ * while a new version is rolled out.
  */
-export function encodePayload(payload: EntryPayload, version = FIRST_VERSION): Uint8Array {
+export function encodePayload(payload: EntryPayload, version = BASE_ENTRY_VERSION): Uint8Array {
     return encodeValue({ version, ...payload });
 }
 
 /**
- * Reads an entry's payload.
+ * Decodes an entry's payload.
  *
- * Guards a rolling restart, where a leader of a newer version may write what an older replica can't apply: skipping it
- * would let the replicas' states part for good without a sign, so the older one stops instead.
+ * Prevents replicas from diverging during a rolling restart, when a leader of a newer version may append an entry that
+ * an older replica can't apply. Skipping it would make the states differ permanently without any sign, so the older
+ * replica stops.
  *
  * @throws EntryVersionError
  */
 export function decodePayload(bytes: Uint8Array): EntryPayload {
     const payload = decodeValue(bytes) as EntryPayload & { readonly version: number; };
-    if (payload.version > ENTRY_VERSION) throw new EntryVersionError(payload.version);
+    if (payload.version > SUPPORTED_ENTRY_VERSION) throw new EntryVersionError(payload.version);
     return payload;
 }
--- a/src/consensus/index.ts
+++ b/src/consensus/index.ts
@@ -1,6 +1,9 @@
-/** The replicated log that keeps the control processes' state alike: election, replication, leases, snapshots, members. */
+/**
+ * Replicated log that keeps the state of the control processes identical: election, replication, leases, snapshots and
+ * membership changes.
+ */
+export type { BootstrapMember } from "./clusterBootstrap/index.js";
 export * from "./controlLog/index.js";
-export type { BootstrapMember } from "./founding/index.js";
 export * from "./logTiming/index.js";
 export type { Configuration, Member } from "./member/index.js";
 export * from "./replicatedLog/index.js";
--- a/src/consensus/leadership/index.ts
+++ b/src/consensus/leadership/index.ts
@@ -12,54 +12,57 @@
 
 type ProposeResult = Either<ProposeError, unknown>;
 
-const MOST_PROPOSALS = 20_000;
+const MAX_PENDING_PROPOSALS = 20_000;
 
 /**
- * One replica's time as leader, in one term: replicates, commits, and holds the lease.
+ * One replica's leadership of one term: replicates and commits entries and holds the lease.
  *
  * @example
- * const leadership = new Leadership(replica, links, onLease);
+ * const leadership = new Leadership(replica, links, onLeaseExtended);
  * leadership.start();
  */
 export class Leadership {
     readonly term: Term;
     private readonly lifecycle = new Lifecycle();
     private readonly replicators = new Map<StoreId, Replicator>();
-    private readonly proposals = new Map<LogIndex, (result: ProposeResult) => void>();
-    /** When it began, as `Clock.elapsed` counts. */
+    private readonly pendingProposals = new Map<LogIndex, (result: ProposeResult) => void>();
+    /** Start of the leadership (`Clock.elapsed`). */
     readonly startedAt: number;
-    private firstIndex = 0 as LogIndex;
+    private termStartIndex = 0 as LogIndex;
     private hasEnded = false;
 
     /**
-     * @param replica - Leads already.
-     * @param links - To the other members.
-     * @param onLease - Told each time the lease may have been won or renewed.
+     * @param replica - Replica that already leads.
+     * @param links - Links to the other members.
+     * @param onLeaseExtended - Called each time the lease may have been acquired or renewed.
      */
     constructor(
         private readonly replica: Replica,
         private readonly links: PeerLinks,
-        private readonly onLease: () => void,
+        private readonly onLeaseExtended: () => void,
     ) {
         this.term = replica.term;
         this.startedAt = replica.clock.elapsed();
     }
 
-    /** Appends the entry that opens the term: entries of earlier terms are committed only through one of its own. */
+    /**
+     * Appends the first entry of the term: entries of earlier terms are committed only through one of the current term.
+     */
     start(): void {
-        // The replicators start first: they begin behind the last entry, which the others are likely to have.
-        this.matchReplicators();
-        this.firstIndex = this.replica.appendOwn({ kind: "term-start" }).index;
+        // The replicators start before the entry is appended, so they begin after the previous last entry, which the
+        // peers are likely to have.
+        this.reconcileReplicators();
+        this.termStartIndex = this.replica.appendAsLeader({ kind: "term-start" }).index;
         this.wakeReplicators();
-        this.lifecycle.run(signal => this.watchQuorum(signal), err => this.replica.fail(err as Error));
+        this.lifecycle.run(signal => this.monitorQuorum(signal), err => this.replica.fail(err as Error));
     }
 
-    /** True once the term's first entry, and so all entries committed before it, are applied here. */
+    /** Whether the term's first entry, and thus all entries committed before it, are applied on this replica. */
     get isEstablished(): boolean {
-        return this.firstIndex > 0 && this.replica.appliedIndex >= this.firstIndex;
+        return this.termStartIndex > 0 && this.replica.appliedIndex >= this.termStartIndex;
     }
 
-    /** Until when, as `Clock.elapsed` counts, a majority has promised to elect no other leader. */
+    /** Returns the time (`Clock.elapsed`) until which a majority has promised to elect no other leader. */
     leaseUntil(): number {
         return this.quorumContactAt() + leaderLeaseMs(this.replica.timing);
     }
@@ -67,29 +70,29 @@
     /** Appends a command and waits until it is committed and applied. */
     propose(command: unknown): Promise<ProposeResult> {
         const { replica } = this;
-        if (this.proposals.size >= MOST_PROPOSALS) {
+        if (this.pendingProposals.size >= MAX_PENDING_PROPOSALS) {
             return Promise.resolve(Left(new ProposeError("busy", false, replica.host)));
         }
-        const { index } = replica.appendOwn({ kind: "command", command, at: replica.clock.now() });
+        const { index } = replica.appendAsLeader({ kind: "command", command, at: replica.clock.now() });
         this.wakeReplicators();
-        return new Promise(resolve => this.proposals.set(index, resolve));
+        return new Promise(resolve => this.pendingProposals.set(index, resolve));
     }
 
-    /** Changes the members, if no other change is under way. */
+    /** Changes the configuration. Returns false when another change is pending. */
     changeMembers(configuration: Configuration): boolean {
         if (!this.mayChangeMembers()) return false;
-        this.replica.appendOwn({ kind: "members", configuration });
-        this.matchReplicators();
+        this.replica.appendAsLeader({ kind: "members", configuration });
+        this.reconcileReplicators();
         this.wakeReplicators();
         return true;
     }
 
     /**
-     * True when the members may be changed: the last change is committed, and so is an entry of this term.
+     * Returns whether the configuration may be changed: the last change and an entry of this term are committed.
      *
-     * Guards against two majorities without a common voter: lists that differ by one member always share one, lists two
-     * changes apart need not. Without an entry of its own term, a leader could build on a change that an earlier leader
-     * never committed and that a later one takes back.
+     * Prevents two majorities without a common voter: configurations that differ by one member always share one, but
+     * those two changes apart need not. Without an entry of its own term, a leader could build on a change that an
+     * earlier leader never committed and that a later leader removes.
      */
     mayChangeMembers(): boolean {
         return this.isEstablished && this.replica.configurationIndex <= this.replica.commitIndex;
@@ -99,49 +102,51 @@
         return this.replicators.get(storeId);
     }
 
-    /** Tells the proposer the result of an applied entry. */
-    settle(entry: StoredEntry, result: unknown): void {
-        const resolve = this.proposals.get(entry.index);
-        this.proposals.delete(entry.index);
+    /** Resolves the proposal of an applied entry with its result. */
+    resolveProposal(entry: StoredEntry, result: unknown): void {
+        const resolve = this.pendingProposals.get(entry.index);
+        this.pendingProposals.delete(entry.index);
         resolve?.(Right(result));
     }
 
     /**
-     * Commits what a majority of the voters has synced. Only an entry of this term is counted: one of an earlier term may sit
-     * on a majority and still be overwritten by a leader elected without it.
+     * Commits entries that a majority of the voters has synced. Counts only entries of this term: one of an earlier
+     * term may be on a majority and still be overwritten by a leader elected without it.
      */
     advanceCommit(): void {
         const { replica } = this;
         if (this.hasEnded) return;
-        const index = reachedByMajority(replica.configuration, voter => this.matchOf(voter.storeId)) as LogIndex;
+        const index = reachedByMajority(replica.configuration, voter => this.matchIndexOf(voter.storeId)) as LogIndex;
         if (index <= replica.commitIndex || replica.log.termAt(index) !== this.term) return;
         const before = replica.commitIndex;
         replica.commitTo(index);
-        if (replica.commitIndex > before) this.afterCommit();
+        if (replica.commitIndex > before) this.onCommitAdvanced();
     }
 
-    /** Ends it: what waits may or may not be committed by the next leader. */
+    /** Ends the leadership. Pending proposals fail as `lost`, since the next leader may or may not commit them. */
     async close(): Promise<void> {
         if (this.hasEnded) return;
         this.hasEnded = true;
-        for (const resolve of this.proposals.values()) resolve(Left(new ProposeError("lost", true, undefined)));
-        this.proposals.clear();
+        for (const resolve of this.pendingProposals.values()) resolve(Left(new ProposeError("lost", true, undefined)));
+        this.pendingProposals.clear();
         const closing = [...this.replicators.values()].map(replicator => replicator.close());
         await Promise.all([...closing, this.lifecycle.close()]);
     }
 
-    /** A leader that was removed steps down once its removal is committed. */
-    private afterCommit(): void {
+    /**
+     * Called when the commit index has advanced. A leader that was removed steps down once its removal is committed.
+     */
+    private onCommitAdvanced(): void {
         const { replica } = this;
         const isSettled = replica.configurationIndex <= replica.commitIndex;
         if (isSettled && !isVoter(replica.configuration, replica.storeId)) {
             replica.stepDown();
             return;
         }
-        this.onLease();
+        this.onLeaseExtended();
     }
 
-    private matchOf(storeId: StoreId): LogIndex {
+    private matchIndexOf(storeId: StoreId): LogIndex {
         if (storeId === this.replica.storeId) return this.replica.log.durableIndex;
         return this.replicators.get(storeId)?.matchIndex ?? 0 as LogIndex;
     }
@@ -155,27 +160,29 @@
     }
 
     /**
-     * Check-quorum: a leader that a majority no longer hears steps down, so that it does not take proposals for nothing.
+     * Steps down when a majority has not replied for a lease (check-quorum), so that proposals are not accepted in
+     * vain.
      *
-     * Guards against an election for nothing after a jump of the wall clock: it looks like sleep, which ends the lease at once, and all contacts seem
-     * too old. The leader has a lease's time from the jump on to be heard again; if it really slept and another leads, it is told so.
+     * Prevents an unnecessary election after a jump of the wall clock: it looks like a suspension of the machine, which
+     * ends the lease at once and makes all contacts seem too old. The leader has one lease duration from the jump on to
+     * regain contact. If the machine really was suspended and another replica leads, the replies say so.
      */
-    private async watchQuorum(signal: AbortSignal): Promise<void> {
+    private async monitorQuorum(signal: AbortSignal): Promise<void> {
         const { clock, timing } = this.replica;
-        let sleptMs = clock.elapsed() - clock.monotonic();
-        let wokeAt = this.startedAt;
+        let suspendedMs = clock.elapsed() - clock.monotonic();
+        let resumedAt = this.startedAt;
         while (!signal.aborted) {
             await clock.sleep(timing.heartbeatMs, signal);
-            if (clock.elapsed() - clock.monotonic() - sleptMs >= timing.heartbeatMs) {
-                sleptMs = clock.elapsed() - clock.monotonic();
-                wokeAt = clock.elapsed();
+            if (clock.elapsed() - clock.monotonic() - suspendedMs >= timing.heartbeatMs) {
+                suspendedMs = clock.elapsed() - clock.monotonic();
+                resumedAt = clock.elapsed();
             }
-            const heardAt = Math.max(wokeAt, this.quorumContactAt());
-            if (!signal.aborted && clock.elapsed() - heardAt > timing.leaseMs) this.replica.stepDown();
+            const contactAt = Math.max(resumedAt, this.quorumContactAt());
+            if (!signal.aborted && clock.elapsed() - contactAt > timing.leaseMs) this.replica.stepDown();
         }
     }
 
-    private matchReplicators(): void {
+    private reconcileReplicators(): void {
         const { replica } = this;
         const others = replica.configuration.members.filter(member => member.storeId !== replica.storeId);
         for (const [storeId, replicator] of this.replicators) {
@@ -188,7 +195,7 @@
             if (this.replicators.has(member.storeId)) continue;
             const replicator = new Replicator(member, replica, this.links, {
                 onMatch: () => this.advanceCommit(),
-                onContact: () => this.onLease(),
+                onContact: () => this.onLeaseExtended(),
             });
             this.replicators.set(member.storeId, replicator);
             replicator.start();
--- a/src/consensus/logTiming/index.ts
+++ b/src/consensus/logTiming/index.ts
@@ -1,25 +1,32 @@
-/** The control log's times, in milliseconds, and sizes. */
+/** Timing (in milliseconds) and size limits of the control log. */
 export interface LogTiming {
-    /** How often the leader sends heartbeats. */
+    /** Interval between the leader's heartbeats. */
     readonly heartbeatMs: number;
-    /** How long a replica that heard its leader refuses to help elect another. */
+    /** Time after a message from the leader during which a replica does not help to elect another leader. */
     readonly leaseMs: number;
-    /** The most by which a host's monotonic clock runs fast or slow, as a fraction. */
+    /** Maximum rate error of a host's monotonic clock, as a fraction. */
     readonly maxDrift: number;
-    /** A replica starts an election up to this much, by chance, after its promise to the leader has run out. */
+    /**
+     * Upper bound of the random delay between the expiry of a replica's promise to the leader and the start of an
+     * election.
+     */
     readonly electionSpreadMs: number;
-    /** How long to wait for the answer to an append, which includes the peer's sync. */
+    /** Timeout of an append request, which includes the peer's sync. */
     readonly appendTimeoutMs: number;
-    /** How long a replica waits between asking to join and asking again. */
+    /** Delay between a replica's join requests. */
     readonly joinRetryMs: number;
-    /** A snapshot is taken after this many entries. */
+    /** Number of applied entries after which a snapshot is taken. */
     readonly snapshotEntries: number;
-    /** How many entries stay behind a snapshot, so that a replica a little behind needs none. */
+    /**
+     * Number of entries kept in the log before a snapshot's index, so that a replica that is slightly behind needs no
+     * snapshot.
+     */
     readonly trailingEntries: number;
+    /** Size at which a new segment file of the log is started. */
     readonly segmentBytes: number;
 }
 
-/** The timing used where settings give none. */
+/** Timing used where settings provide none. */
 export const DEFAULT_LOG_TIMING: LogTiming = {
     heartbeatMs: 500,
     leaseMs: 2_000,
@@ -33,12 +40,12 @@
 };
 
 /**
- * How long the leader may count on a promise, from when its request left.
+ * Returns how long the leader may rely on a promise, in milliseconds from when its request was sent.
  *
- * Guards against two holders at once when clocks drift: the leader's clock may run slow and the follower's fast, each by
- * `maxDrift`. The follower starts its `leaseMs` later than the leader (on receipt), and its fast clock ends it after
- * `leaseMs / (1 + maxDrift)` of true time at the earliest; the leader's slow clock shows this span as
- * `leaseMs * (1 - maxDrift) / (1 + maxDrift)`.
+ * Prevents two simultaneous lease holders when clocks drift: the leader's clock may run slow and the follower's fast,
+ * each by `maxDrift`. The follower's `leaseMs` starts later than the leader's (on receipt), and its fast clock ends it
+ * after `leaseMs / (1 + maxDrift)` of true time at the earliest; the leader's slow clock measures this span as `leaseMs
+ * * (1 - maxDrift) / (1 + maxDrift)`.
  *
  * @example
  * leaderLeaseMs({ ...DEFAULT_LOG_TIMING, leaseMs: 2_000, maxDrift: 0.01 }); // 1960.4
--- a/src/consensus/memberHistory/index.ts
+++ b/src/consensus/memberHistory/index.ts
@@ -1,64 +1,67 @@
 import { LogIndex } from "../../ids/index.js";
 import { Configuration } from "../member/index.js";
 
-interface ConfigurationAt {
+interface IndexedConfiguration {
     readonly index: LogIndex;
     readonly configuration: Configuration;
 }
 
 /**
- * The members' lists of the log, from its base on. A list counts as soon as its entry is in the log, committed or not; when
- * the entry is taken back, the list before it counts again.
+ * Configurations in the log, starting at its base. A configuration takes effect as soon as its entry is in the log,
+ * committed or not; when the entry is removed, the previous configuration takes effect again.
  *
  * @example
  * history.push(index, configuration);
  */
 export class MemberHistory {
-    private lists: ConfigurationAt[];
+    private configurations: IndexedConfiguration[];
 
     /**
-     * @param index - The base: 0, or a snapshot's index.
-     * @param configuration - The members there.
-     * @param onChange - Told when the newest list may be another one.
+     * @param index - Index of the base: 0 or a snapshot's index.
+     * @param configuration - Configuration at the base.
+     * @param onChange - Called when the newest configuration may have changed.
      */
     constructor(index: LogIndex, configuration: Configuration, private readonly onChange: () => void) {
-        this.lists = [{ index, configuration }];
+        this.configurations = [{ index, configuration }];
     }
 
     get newest(): Configuration {
-        return this.lists.at(-1)!.configuration;
+        return this.configurations.at(-1)!.configuration;
     }
 
-    /** The index of the entry that the newest list is from. */
+    /** Index of the entry that contains the newest configuration. */
     get newestIndex(): LogIndex {
-        return this.lists.at(-1)!.index;
+        return this.configurations.at(-1)!.index;
     }
 
-    /** The list before the newest; undefined where the newest is the base. */
+    /** Configuration before the newest one; undefined when the newest is the base. */
     get previous(): Configuration | undefined {
-        return this.lists.at(-2)?.configuration;
+        return this.configurations.at(-2)?.configuration;
     }
 
-    /** The list in force at an index. */
+    /** Returns the configuration in effect at an index. */
     at(index: LogIndex): Configuration {
-        return this.lists.findLast(list => list.index <= index)!.configuration;
+        return this.configurations.findLast(list => list.index <= index)!.configuration;
     }
 
     push(index: LogIndex, configuration: Configuration): void {
-        this.lists.push({ index, configuration });
+        this.configurations.push({ index, configuration });
         this.onChange();
     }
 
-    /** Takes back the lists from an index on. */
-    dropFrom(index: LogIndex): void {
-        this.lists = this.lists.filter((list, place) => place === 0 || list.index < index);
+    /** Removes the configurations at or after an index, except the base. */
+    truncateFrom(index: LogIndex): void {
+        this.configurations = this.configurations.filter((item, position) => position === 0 || item.index < index);
         this.onChange();
     }
 
-    /** Replaces the base by a later one, and the lists up to it; `keepsLater` keeps those behind it. */
-    rebase(index: LogIndex, configuration: Configuration, keepsLater: boolean): void {
-        const later = keepsLater ? this.lists.filter(list => list.index > index) : [];
-        this.lists = [{ index, configuration }, ...later];
+    /**
+     * Replaces the base and the configurations up to it with a later one. `keepLater` keeps the configurations after
+     * it.
+     */
+    rebase(index: LogIndex, configuration: Configuration, keepLater: boolean): void {
+        const later = keepLater ? this.configurations.filter(list => list.index > index) : [];
+        this.configurations = [{ index, configuration }, ...later];
         this.onChange();
     }
 }
--- a/src/consensus/membership/index.ts
+++ b/src/consensus/membershipManager/index.ts
@@ -5,36 +5,37 @@
     addLearner,
     Configuration,
     findMember,
-    findPredecessor,
+    findReplacedMember,
     findVoters,
     Member,
-    moveMember,
     promoteLearner,
     removeMember,
+    updateMemberAddress,
 } from "../member/index.js";
-import { JoinReply, JoinRequest, Method } from "../message/index.js";
+import { JoinReply, JoinRequest, RpcMethod } from "../message/index.js";
 import { PeerLinks } from "../peerLinks/index.js";
 import { Replica } from "../replica/index.js";
 
-const LOG_EVERY_MS = 10_000;
+const LOG_INTERVAL_MS = 10_000;
 /**
- * A voter silent for this long may be replaced by a new host that waits, in milliseconds. Three times a lease: a restart takes
- * less, and a replacement that comes too early costs a returning host its folder.
+ * A voter without contact for this long may be replaced by a waiting learner of another host. Three lease durations: a
+ * restart takes less, and premature replacement would cost a returning host its data folder.
  */
-const DEAD_AFTER_MS = 3_000;
+const DEAD_VOTER_TIMEOUT_MS = 3_000;
 
 /**
- * Keeps the members' list true: a replica that is not in it asks to join, and the leader takes it in, promotes it
- * and removes the identity that it replaces, one change at a time.
+ * Maintains the cluster membership: a replica that is not a member requests to join, and the leader adds it as a
+ * learner, promotes it and removes the identity that it replaces, one change at a time.
  *
- * The order after a lost disk: the new folder becomes a learner; once it has synced all that is committed, the dead identity
- * is removed, and then the learner is promoted. Removing first costs nothing, since a dead voter helps no majority, and spares
- * a list in which both folders of the host count: there, losing the host once more would stop the log for good.
+ * After a lost disk, the new data folder first becomes a learner. Once it has synced all committed entries, the dead
+ * identity is removed, and then the learner is promoted. Removing first costs nothing, since a dead voter contributes
+ * to no majority. It avoids a configuration in which both folders of the host are voters, where losing the host again
+ * would stop the log permanently.
  *
  * @example
- * membership.review(leadership);
+ * membershipManager.applyDueChange(leadership);
  */
-export class Membership {
+export class MembershipManager {
     private nextLogAt = 0;
 
     constructor(
@@ -42,125 +43,129 @@
         private readonly links: PeerLinks,
         private readonly address: Address,
         private readonly bootstrap: readonly Address[],
-        /** Beyond so many voters a learner takes the place of a dead one, and waits while there is none. */
+        /** Desired number of voters. Once it is reached, a learner is promoted only in place of a dead voter. */
         private readonly targetVoters = Number.POSITIVE_INFINITY,
     ) {}
 
-    /** Makes the next change that is due, if any. */
-    review(leadership: Leadership): void {
+    /** Appends the next membership change that is due, if any. */
+    applyDueChange(leadership: Leadership): void {
         const { configuration } = this.replica;
         if (!leadership.mayChangeMembers()) return;
         const learner = configuration.members.find(member => {
-            return member.role === "learner" && this.isSynced(member, leadership);
+            return member.role === "learner" && this.isCaughtUp(member, leadership);
         });
         if (!learner) return;
-        const predecessor = findPredecessor(configuration, learner);
+        const replaced = findReplacedMember(configuration, learner);
         const isFull = findVoters(configuration).length >= this.targetVoters;
-        const dead = predecessor ?? (isFull ? this.findDeadVoter(leadership) : undefined);
+        const dead = replaced ?? (isFull ? this.findDeadVoter(leadership) : undefined);
         if (isFull && !dead) return;
         const next = dead
             ? removeMember(configuration, dead.storeId)
             : promoteLearner(configuration, learner.storeId);
-        this.change(leadership, next, dead ? "member-removed" : "learner-promoted", dead ?? learner);
+        this.appendChange(leadership, next, dead ? "member-removed" : "learner-promoted", dead ?? learner);
     }
 
-    /** Answers a replica that wants to be a member. */
-    answerJoin(req: JoinRequest, leadership: Leadership | undefined): JoinReply {
+    /** Handles a request to join the cluster. */
+    handleJoin(req: JoinRequest, leadership: Leadership | undefined): JoinReply {
         const { replica } = this;
         const { configuration } = replica;
         if (req.cluster !== replica.cluster) throw new Error("the request is from another cluster");
-        if (!leadership) return { result: "not-leader", leader: this.addressOfLeader() };
+        if (!leadership) return { result: "not-leader", leader: this.findLeaderAddress() };
         if (configuration.retired.includes(req.storeId)) return { result: "retired" };
         const member = findMember(configuration, req.storeId);
-        if (member) return this.answerMember(member, req, leadership);
-        if (this.isHostAlive(req, leadership) || !leadership.mayChangeMembers()) return { result: "busy" };
+        if (member) return this.handleJoinOfMember(member, req, leadership);
+        if (this.isKnownFolderAlive(req, leadership) || !leadership.mayChangeMembers()) return { result: "busy" };
         const since = replica.log.lastIndex + 1 as Member["since"];
         const { host, storeId, address } = req;
         const learner: Member = { host, storeId, address, role: "learner", since };
-        this.change(leadership, addLearner(configuration, learner), "learner-added", learner);
+        this.appendChange(leadership, addLearner(configuration, learner), "learner-added", learner);
         return { result: "added" };
     }
 
-    /** A member that asks may have moved to another address, at which nobody calls it. */
-    private answerMember(member: Member, req: JoinRequest, leadership: Leadership): JoinReply {
+    /**
+     * Handles a request from a current member, which may have moved to an address that the other members do not know
+     * yet.
+     */
+    private handleJoinOfMember(member: Member, req: JoinRequest, leadership: Leadership): JoinReply {
         if (formatAddress(member.address) !== formatAddress(req.address)) {
-            const next = moveMember(this.replica.configuration, req.storeId, req.address);
-            this.change(leadership, next, "member-moved", member);
+            const next = updateMemberAddress(this.replica.configuration, req.storeId, req.address);
+            this.appendChange(leadership, next, "member-moved", member);
         }
         return { result: "member" };
     }
 
-    /** Removes a host's replica for good. False when another change is under way or it is no member. */
+    /** Removes a member permanently. Returns false when another change is pending or the replica is not a member. */
     remove(storeId: StoreId, leadership: Leadership): boolean {
         const { configuration } = this.replica;
         const member = findMember(configuration, storeId);
         if (!member || !leadership.mayChangeMembers()) return false;
-        this.change(leadership, removeMember(configuration, storeId), "member-removed", member);
+        this.appendChange(leadership, removeMember(configuration, storeId), "member-removed", member);
         return true;
     }
 
-    /** Asks to join while no leader counts this replica in: one task, to the end of the replica. */
+    /** Requests to join whenever no leader treats this replica as a member. Runs until the signal is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         const { clock, timing, changed } = this.replica;
         while (!signal.aborted) {
-            if (this.isCountedIn()) {
+            if (this.isRecognizedAsMember()) {
                 await changed.wait(clock, timing.leaseMs, signal);
                 continue;
             }
-            await this.askToJoin();
+            await this.requestJoin();
             await clock.sleep(timing.joinRetryMs, signal);
         }
     }
 
     /**
-     * The list here may be wrong in both directions: a learner's own entry may have been taken back by a later leader,
-     * and a removed replica does not get the entry that removes it. So silence counts too, however the list reads.
+     * Returns whether a leader treats this replica as a member. The local configuration is not sufficient: the entry
+     * that added a learner may have been removed by a later leader, and a removed replica does not receive the entry
+     * that removes it. A member that hears from no leader for a lease is therefore not recognized either.
      */
-    private isCountedIn(): boolean {
+    private isRecognizedAsMember(): boolean {
         const { replica } = this;
-        if (replica.leads) return true;
+        if (replica.isLeader) return true;
         const isMember = findMember(replica.configuration, replica.storeId) !== undefined;
-        const silentFor = replica.clock.monotonic() - replica.promisedUntil;
-        return isMember && silentFor < replica.timing.leaseMs;
+        const silentMs = replica.clock.monotonic() - replica.promisedUntil;
+        return isMember && silentMs < replica.timing.leaseMs;
     }
 
-    private async askToJoin(): Promise<void> {
+    private async requestJoin(): Promise<void> {
         const { replica } = this;
-        const asked = [...this.bootstrap, ...replica.configuration.members.map(member => member.address)];
-        const replies = await Promise.all(asked.map(address => this.askOne(address)));
+        const addresses = [...this.bootstrap, ...replica.configuration.members.map(member => member.address)];
+        const replies = await Promise.all(addresses.map(address => this.sendJoinRequest(address)));
         const leader = replies.find(reply => reply?.leader)?.leader;
-        if (leader) replies.push(await this.askOne(leader));
-        this.logAnswers(replies);
+        if (leader) replies.push(await this.sendJoinRequest(leader));
+        this.logJoinResults(replies);
     }
 
-    /** Says now and then why this replica is no member yet. */
-    private logAnswers(replies: readonly (JoinReply | undefined)[]): void {
+    /** Logs, at most once per interval, why this replica is not a member yet. */
+    private logJoinResults(replies: readonly (JoinReply | undefined)[]): void {
         const { clock, logger, storeId } = this.replica;
         if (clock.monotonic() < this.nextLogAt) return;
-        this.nextLogAt = clock.monotonic() + LOG_EVERY_MS;
+        this.nextLogAt = clock.monotonic() + LOG_INTERVAL_MS;
         const results = replies.flatMap(reply => reply ? [reply.result] : []);
         if (results.includes("retired")) logger.error("member-retired", { storeId });
         else if (!results.includes("member") && !results.includes("added")) logger.warn("join-waits", { storeId });
     }
 
-    private async askOne(address: Address): Promise<JoinReply | undefined> {
+    private async sendJoinRequest(address: Address): Promise<JoinReply | undefined> {
         if (formatAddress(address) === formatAddress(this.address)) return undefined;
         const { cluster, storeId, host, timing } = this.replica;
         const request = { cluster, host, storeId, address: this.address } as JoinRequest;
-        const reply = await this.links.call<JoinReply>(address, Method.Join, request, timing.leaseMs);
+        const reply = await this.links.call<JoinReply>(address, RpcMethod.Join, request, timing.leaseMs);
         return reply.toMaybe().extract();
     }
 
-    private addressOfLeader(): Address | undefined {
+    private findLeaderAddress(): Address | undefined {
         const { leader, configuration } = this.replica;
         return leader && findMember(configuration, leader.storeId)?.address;
     }
 
     /**
-     * The voter that has been silent for longest, if that is long enough to take its host for lost.
+     * Returns the voter that has been out of contact longest, if that is long enough to consider its host lost.
      *
-     * Guards against a cluster that wears out: hosts are replaced by new ones under other names, and without this each one
-     * that is gone would count as a voter for ever, until a majority of the list is no more.
+     * Prevents the gradual loss of the cluster: when hosts are replaced by new ones with other names, each lost host
+     * would otherwise remain a voter forever, until a majority of the voters no longer exists.
      */
     private findDeadVoter(leadership: Leadership): Member | undefined {
         const { configuration, clock, storeId } = this.replica;
@@ -169,18 +174,21 @@
             return clock.elapsed() - Math.max(contactAt, leadership.startedAt);
         };
         const others = findVoters(configuration).filter(member => member.storeId !== storeId);
-        const silent = others.filter(member => silentMs(member) >= DEAD_AFTER_MS);
+        const silent = others.filter(member => silentMs(member) >= DEAD_VOTER_TIMEOUT_MS);
         return silent.sort((a, b) => silentMs(b) - silentMs(a))[0];
     }
 
-    private isSynced(learner: Member, leadership: Leadership): boolean {
+    private isCaughtUp(learner: Member, leadership: Leadership): boolean {
         const replicator = leadership.replicatorOf(learner.storeId);
         return replicator !== undefined && replicator.matchIndex >= this.replica.commitIndex
             && this.replica.clock.elapsed() - replicator.contactAt < this.replica.timing.leaseMs;
     }
 
-    /** A host whose known folder still answers has not lost it: two processes run under one name. */
-    private isHostAlive(req: JoinRequest, leadership: Leadership): boolean {
+    /**
+     * Returns whether a known data folder of the requesting host still answers. Such a host has not lost its folder:
+     * two processes run under the same host name.
+     */
+    private isKnownFolderAlive(req: JoinRequest, leadership: Leadership): boolean {
         const { clock, timing, configuration, storeId } = this.replica;
         return configuration.members.some(({ host, storeId: known }) => {
             if (host !== req.host) return false;
@@ -190,7 +198,7 @@
         });
     }
 
-    private change(leadership: Leadership, next: Configuration, event: string, member: Member): void {
+    private appendChange(leadership: Leadership, next: Configuration, event: string, member: Member): void {
         if (!leadership.changeMembers(next)) return;
         this.replica.logger.info(event, { memberHost: member.host, storeId: member.storeId });
     }
--- a/src/consensus/membership/test.ts
+++ b/src/consensus/membershipManager/test.ts
@@ -14,13 +14,13 @@
     return [...fleet.hosts.keys()].filter(name => name !== fleet.holder()!.name);
 }
 
-describe("Membership", () => {
+describe("MembershipManager", () => {
     describe("a lost disk, and the loss of another host right after the repair", () => {
         for (let seed = 1; seed <= 6; seed++) {
             it(`loses no accepted entry with seed ${seed}`, async () => {
-                // Accepted changes are gone a day after a disk was replaced.
-                // A host comes back with an empty disk; as soon as it counts again, another host loses its disk.
-                // Cause: the empty replica counted for a majority before it had synced all that was accepted.
+                // Prevents the loss of accepted changes when another host loses its disk right after a replaced disk
+                // was repaired. The empty replica must not count for a majority before it has synced all accepted
+                // entries.
                 const fleet = await startFleet(seed);
                 const [lost, next] = followersOf(fleet);
                 fleet.crash(next);
@@ -42,10 +42,10 @@
     });
 
     describe("a learner", () => {
-        it("counts only once it has synced all that is accepted", async () => {
-            // Changes hang after the loss of a second host, although the repair of the first was reported.
-            // A host returns with an empty disk, and its syncs take a second each.
-            // Cause: it counts for a majority that it can't yet help.
+        it("is promoted only once it has synced all accepted entries", async () => {
+            // Prevents changes from hanging after the loss of a second host although the first was reported as
+            // repaired. The host with the empty disk, whose syncs take a second each, must not count for a majority
+            // before it can contribute.
             const fleet = await startFleet();
             await fleet.proposeMany(100);
             const lost = followersOf(fleet)[0];
@@ -57,10 +57,9 @@
             assert.ok(fleet.find(lost).process!.log["replica"].log.durableIndex >= accepted);
         });
 
-        it("is not missed in a majority", async () => {
-            // Changes hang after a new host was added, although most old ones work.
-            // One of three hosts is down; a new host is added and goes down before it is synced.
-            // Cause: the learner raises the number that is a majority.
+        it("does not raise the size of a majority", async () => {
+            // Prevents changes from hanging when a newly added host goes down before it is synced, while one of three
+            // hosts is down. A learner must not raise the size of the majority.
             const fleet = await startFleet();
             fleet.crash(followersOf(fleet)[0]);
             const added = fleet.addHost("x");
@@ -73,11 +72,11 @@
     });
 
     describe("a host with an empty folder", () => {
-        it("does not vote for the folder it lost", async () => {
-            // Accepted changes are gone: two hosts agreed on a leader that did not have them.
-            // Changes are accepted by the holder and one follower; the follower loses its disk, the holder goes down, and the third
-            // host, which missed the changes, comes back.
-            // Cause: the empty host votes as if it had never acknowledged anything.
+        it("does not vote in place of the folder it lost", async () => {
+            // Prevents the loss of accepted changes through a leader that lacks them. Changes are accepted by the
+            // holder and one follower; the follower loses its disk, the holder goes down, and the third host, which
+            // missed the changes, comes back. The host with the empty disk must not vote as if it had never
+            // acknowledged anything.
             const fleet = await startFleet();
             const holder = fleet.holder()!.name;
             const [lost, behind] = followersOf(fleet);
@@ -94,9 +93,9 @@
         });
 
         it("finds a leader that is not in its settings", async () => {
-            // A replaced disk is never repaired, and the next loss stops the system.
-            // A host added later leads; a host with a new disk asks only those in its settings.
-            // Cause: nobody told it where the leader is. (Seed 8 of the fault schedules.)
+            // Prevents a replaced disk from never being repaired, so that the next loss stops the system. A host added
+            // later leads, while the host with the new disk knows only the hosts in its settings, and those must direct
+            // it to the leader. (Seed 8 of the fault schedules.)
             const fleet = await startFleet(1, ["a", "b", "c", "d"]);
             fleet.addHost("x");
             await fleet.start("x");
@@ -115,11 +114,11 @@
         });
     });
 
-    describe("a learner whose adding was taken back", () => {
+    describe("a learner whose addition was reverted", () => {
         it("asks again", async () => {
-            // A new host never becomes a member.
-            // The leader adds it and is cut off before a majority has that entry; the next leader takes the entry back.
-            // Cause: the learner still reads itself in its own list and waits. (Seed 29 of the fault schedules.)
+            // Prevents a new host from never becoming a member. The leader adds it and is cut off before a majority has
+            // that entry; the next leader removes the entry. The learner must not keep waiting because it still finds
+            // itself in its own configuration. (Seed 29 of the fault schedules.)
             const fleet = await startFleet();
             const first = fleet.holder()!.name;
             for (const name of followersOf(fleet)) fleet.fabric.isolate(name, [first], true);
@@ -135,7 +134,7 @@
     });
 
     describe("a member with a new address", () => {
-        it("is called there", async () => {
+        it("is contacted at that address", async () => {
             const fleet = await startFleet();
             const [moved] = followersOf(fleet);
             fleet.crash(moved);
@@ -147,7 +146,7 @@
     });
 
     describe("remove", () => {
-        it("keeps a removed folder out, and a removed leader steps down", async () => {
+        it("keeps a removed folder out, and makes a removed leader step down", async () => {
             const fleet = await startFleet();
             const removed = fleet.holder()!;
             const { log } = removed.process!;
--- a/src/consensus/message/index.ts
+++ b/src/consensus/message/index.ts
@@ -2,21 +2,21 @@
 import { Address } from "../../ports/index.js";
 import { Configuration } from "../member/index.js";
 
-/** The methods that replicas answer to each other. */
-export const Method = {
+/** RPC methods that replicas call on each other. */
+export const RpcMethod = {
     Vote: "consensus.vote",
-    Standing: "consensus.standing",
+    LeadershipStatus: "consensus.standing",
     Heartbeat: "consensus.heartbeat",
     Append: "consensus.append",
     Snapshot: "consensus.snapshot",
-    Status: "consensus.status",
+    BootstrapStatus: "consensus.status",
     Join: "consensus.join",
     ReadIndex: "consensus.readIndex",
 } as const;
 
 /**
- * What each message between members carries. `to` names the data folder, not the host: a host that lost its folder
- * refuses what was meant for the lost one.
+ * Fields of every message between members. `to` identifies the data folder, not the host: a host that lost its folder
+ * rejects messages meant for the lost one.
  */
 export interface MemberMessage {
     readonly cluster: ClusterId;
@@ -25,67 +25,74 @@
     readonly term: Term;
 }
 
-/** Asks for a vote; with `pre`, whether one would be given, which changes nothing. */
+/** Requests a vote. With `pre`, asks only whether a vote would be granted, which changes no state. */
 export interface VoteRequest extends MemberMessage {
     readonly pre: boolean;
     readonly lastIndex: LogIndex;
     readonly lastTerm: Term;
 }
 
+/** Reply to a vote or pre-vote request. */
 export interface VoteReply {
     readonly term: Term;
     readonly granted: boolean;
 }
 
-/** Asks, after a restart, whether the one asked may lead and count on what was promised to it before. */
-export interface StandingRequest {
+/**
+ * Sent after a restart to learn whether the receiver leads and may still rely on a promise that the sender made before
+ * the restart.
+ */
+export interface LeadershipStatusRequest {
     readonly cluster: ClusterId;
     readonly host: HostId;
-    /** The data folder that is meant. */
+    /** Data folder of the intended receiver. */
     readonly to: StoreId;
 }
 
-export type StandingReply =
+/** Reply to a leadership status request. */
+export type LeadershipStatusReply =
     | { readonly kind: "leads"; }
     | {
         readonly kind: "follows";
-        /** The index of the entry that the newest list of members is from. */
+        /** Index of the entry that contains the receiver's newest configuration. */
         readonly configurationIndex: LogIndex;
     }
-    /** The host has another data folder now, so that the process with the one that is meant has ended. */
+    /** The host now has a different data folder, so the process that used the requested one has ended. */
     | { readonly kind: "folder-lost"; };
 
-/** What the leader sends. */
+/** Fields of every message from the leader. */
 export interface LeaderMessage extends MemberMessage {
     readonly host: HostId;
 }
 
-/** Renews the lease; answered without waiting for the disk. */
+/** Renews the lease. Answered without waiting for the disk. */
 export interface HeartbeatRequest extends LeaderMessage {
     readonly commit: LogIndex;
 }
 
+/** Reply to a heartbeat. `ok` means that the sender renewed its promise to the leader. */
 export interface HeartbeatReply {
     readonly term: Term;
     readonly ok: boolean;
 }
 
+/** Entries to append to a follower's log. */
 export interface AppendRequest extends LeaderMessage {
     readonly prevIndex: LogIndex;
     readonly prevTerm: Term;
     readonly commit: LogIndex;
-    /** What follows `prevIndex`, in order. */
+    /** Entries after `prevIndex`, in order. */
     readonly entries: readonly WireEntry[];
 }
 
-/** The index follows from the place in the request. */
+/** One entry of an append request. Its index is `prevIndex` plus its position in the request, counted from 1. */
 export type WireEntry = readonly [term: Term, payload: Uint8Array];
 
-/** Answered once the entries are synced. */
+/** Reply to an append request, sent once the entries are synced to disk. */
 export interface AppendReply {
     readonly term: Term;
     readonly ok: boolean;
-    /** Where the leader should try next when the entries did not fit. */
+    /** Index after which the leader should continue when the entries were rejected. */
     readonly lastIndex: LogIndex;
 }
 
@@ -99,28 +106,32 @@
     readonly bytes: Uint8Array;
 }
 
+/** Reply to a snapshot chunk. */
 export interface SnapshotReply {
     readonly term: Term;
     readonly ok: boolean;
 }
 
-/** Asks a host of the settings' list whether it has a history. Comes from a host without one. */
-export interface StatusRequest {
+/**
+ * Asks a host of the bootstrap list whether its data folder belongs to a cluster. Sent by a host whose folder does not.
+ */
+export interface BootstrapStatusRequest {
     readonly host: HostId;
     readonly storeId: StoreId;
-    /** `IP:port` of the sender, for lists that name addresses only. */
+    /** `IP:port` of the sender, for bootstrap lists that contain only addresses. */
     readonly address?: string;
 }
 
-export interface StatusReply {
+/** Identity of a host's data folder, and the cluster that it belongs to. */
+export interface BootstrapStatusReply {
     readonly host: HostId;
     readonly storeId: StoreId;
-    /** Undefined while the host has no history. */
+    /** Undefined while the host's data folder belongs to no cluster. */
     readonly cluster?: ClusterId;
     readonly founding?: Configuration;
 }
 
-/** Asks the leader to make the sender a member. */
+/** Asks the leader to add the sender as a member. */
 export interface JoinRequest {
     readonly cluster: ClusterId;
     readonly host: HostId;
@@ -128,13 +139,15 @@
     readonly address: Address;
 }
 
+/** Result of a join request. */
 export interface JoinReply {
     readonly result: "member" | "added" | "busy" | "not-leader" | "retired";
-    /** Whom to ask instead. */
+    /** Address of the leader to ask instead. */
     readonly leader?: Address;
 }
 
+/** Index that a replica must have applied for an up-to-date read. */
 export interface ReadIndexReply {
-    /** Undefined when the one asked does not hold the lease. */
+    /** Undefined when the receiver does not hold the lease. */
     readonly index?: LogIndex;
 }
--- a/src/consensus/replica/index.ts
+++ b/src/consensus/replica/index.ts
@@ -4,7 +4,6 @@
 import { Clock } from "../../ports/index.js";
 import { LogStore, StoredEntry, StoreError } from "../../store/index.js";
 import { Applier } from "../applier/index.js";
-import { Ballot } from "../ballot/index.js";
 import { EntryLog } from "../entryLog/index.js";
 import { decodePayload, encodePayload, EntryPayload } from "../entryPayload/index.js";
 import { LogTiming } from "../logTiming/index.js";
@@ -12,8 +11,9 @@
 import { MemberHistory } from "../memberHistory/index.js";
 import { LeaderMessage, MemberMessage } from "../message/index.js";
 import { StateMachine } from "../stateMachine/index.js";
+import { VotingState } from "../votingState/index.js";
 
-/** What a replica is made of. */
+/** Options of a replica. */
 export interface ReplicaOptions {
     readonly host: HostId;
     readonly store: LogStore;
@@ -24,31 +24,31 @@
     readonly events: ReplicaEvents;
 }
 
-/** Told of what happens to a replica. */
+/** Callbacks for the events of a replica. */
 export interface ReplicaEvents {
-    /** Entries were synced here. */
+    /** Called after entries were synced to the local disk. */
     onDurable(): void;
-    /** A committed entry was applied here. */
+    /** Called after a committed entry was applied to the local state machine. */
     onApplied(entry: StoredEntry, result: unknown): void;
-    /** The replica no longer leads. */
+    /** Called when the replica stops leading. */
     onStepDown(): void;
-    /** The replica can't go on. */
+    /** Called when the replica has failed permanently. */
     onFailure(err: Error): void;
 }
 
-/** Who leads, as far as is known. */
+/** Host and data folder of the leader. */
 export interface LeaderIdentity {
     readonly host: HostId;
     readonly storeId: StoreId;
 }
 
-/** How long a replica leaves leading to others after its disk was full. */
+/** Time after a full disk during which a replica does not campaign for leadership. */
 const FULL_DISK_PAUSE_MS = 5_000;
-const NO_MEMBERS: Configuration = { members: [], retired: [] };
+const EMPTY_CONFIGURATION: Configuration = { members: [], retired: [] };
 
 /**
- * The state of one replica: term, vote, log, members, what is committed and applied, and the promise to its leader. The
- * tasks of election, leadership and following read it and change it through its methods, each in one synchronous step.
+ * State of one replica: term, vote, log, members, commit and apply indices, and the promise to its leader. The
+ * election, leadership and follower tasks read it and change it through its methods, each in one synchronous step.
  */
 export class Replica {
     readonly log: EntryLog;
@@ -57,21 +57,24 @@
     readonly timing: LogTiming;
     readonly store: LogStore;
     readonly logger: Logger;
-    /** Opened at each change of role, term or members. */
+    /** Opened at each change of role, term or configuration. */
     readonly changed = new Gate();
     private readonly options: ReplicaOptions;
-    private readonly ballot: Ballot;
-    private readonly members: MemberHistory;
-    private isLeader = false;
+    private readonly votingState: VotingState;
+    private readonly configurations: MemberHistory;
+    private hasLeadership = false;
     private knownLeader: LeaderIdentity | undefined;
-    /** Until when it is bound to a leader that it has heard in this life, on the monotonic clock. */
-    private promised = Number.NEGATIVE_INFINITY;
-    private promisedTo: StoreId | undefined;
-    /** Until when it is bound to one that it may have heard before its restart. */
+    /**
+     * Monotonic time until which this replica is bound by its promise to a leader. Covers only promises made since the
+     * process started.
+     */
+    private leaderPromiseUntil = Number.NEGATIVE_INFINITY;
+    private promisedLeader: StoreId | undefined;
+    /** Monotonic time until which this replica may be bound by a promise from before its restart. */
     private restartPauseUntil: number;
-    private fullUntil = Number.NEGATIVE_INFINITY;
+    private diskFullUntil = Number.NEGATIVE_INFINITY;
     private readonly applier: Applier;
-    private committed: LogIndex;
+    private committedIndex: LogIndex;
     private hasFailed = false;
 
     constructor(options: ReplicaOptions) {
@@ -84,21 +87,21 @@
         this.logger = options.logger;
         this.log = new EntryLog(store, {
             onDurable: () => options.events.onDurable(),
-            onStoreError: err => this.takeStoreError(err),
+            onStoreError: err => this.handleStoreError(err),
         });
-        this.ballot = new Ballot(store, this.log.lastTerm);
-        // A promise made before a restart is forgotten with it. Without this pause a replica that restarts quickly could elect
-        // a second leader while the first still counts on the promise: two holders at once.
+        this.votingState = new VotingState(store, this.log.lastTerm);
+        // Promises are lost in a restart. Without this pause, a replica that restarts quickly could help to elect a
+        // second leader while the first still relies on the promise, which would create two simultaneous lease holders.
         this.restartPauseUntil = clock.monotonic() + timing.leaseMs;
-        this.committed = store.snapshot?.index ?? 0 as LogIndex;
-        this.applier = new Applier(options.stateMachine, options.logger, this.committed);
+        this.committedIndex = store.snapshot?.index ?? 0 as LogIndex;
+        this.applier = new Applier(options.stateMachine, options.logger, this.committedIndex);
         const members = store.snapshot ? store.snapshot.configuration : store.identity.founding;
-        const base = members as Configuration | undefined ?? NO_MEMBERS;
-        this.members = new MemberHistory(this.committed, base, () => this.changed.open());
+        const base = members as Configuration | undefined ?? EMPTY_CONFIGURATION;
+        this.configurations = new MemberHistory(this.committedIndex, base, () => this.changed.open());
         const state = store.takeSnapshotState();
-        if (state) this.applier.restore(this.committed, state);
-        const rest = this.log.slice(this.committed + 1 as LogIndex, Number.POSITIVE_INFINITY);
-        for (const entry of rest) this.noteConfiguration(entry);
+        if (state) this.applier.restore(this.committedIndex, state);
+        const rest = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
+        for (const entry of rest) this.recordConfiguration(entry);
     }
 
     get storeId(): StoreId {
@@ -110,28 +113,31 @@
     }
 
     get term(): Term {
-        return this.ballot.term;
+        return this.votingState.term;
     }
 
-    get leads(): boolean {
-        return this.isLeader;
+    get isLeader(): boolean {
+        return this.hasLeadership;
     }
 
     get leader(): LeaderIdentity | undefined {
         return this.knownLeader;
     }
 
-    /** Until when, on the monotonic clock, this replica refuses to help elect another leader. */
+    /** Monotonic time until which this replica refuses to help elect another leader. */
     get promisedUntil(): number {
-        return Math.max(this.promised, this.restartPauseUntil);
+        return Math.max(this.leaderPromiseUntil, this.restartPauseUntil);
     }
 
-    /** True while a leader may count on a promise from before the restart. */
+    /** Whether a leader may still rely on a promise from before the restart. */
     get isInRestartPause(): boolean {
         return this.clock.monotonic() < this.restartPauseUntil;
     }
 
-    /** Takes note that no leader counts on a promise from before the restart. Promises given since stay. */
+    /**
+     * Ends the restart pause, because no leader relies on a promise from before the restart. Promises made since remain
+     * in effect.
+     */
     endRestartPause(): void {
         this.restartPauseUntil = Number.NEGATIVE_INFINITY;
         this.logger.info("restart-pause-ended", { term: this.term });
@@ -139,64 +145,69 @@
     }
 
     get commitIndex(): LogIndex {
-        return this.committed;
+        return this.committedIndex;
     }
 
     get appliedIndex(): LogIndex {
         return this.applier.appliedIndex;
     }
 
-    /** The members by the newest entry, committed or not. */
+    /** Configuration of the newest entry, committed or not. */
     get configuration(): Configuration {
-        return this.members.newest;
+        return this.configurations.newest;
     }
 
-    /** The members before the newest change. */
+    /** Configuration before the newest change. */
     get previousConfiguration(): Configuration | undefined {
-        return this.members.previous;
+        return this.configurations.previous;
     }
 
-    /** The index of the entry that the members are taken from. */
+    /** Index of the entry that contains the newest configuration. */
     get configurationIndex(): LogIndex {
-        return this.members.newestIndex;
+        return this.configurations.newestIndex;
     }
 
-    /** The members at an index that is applied. */
+    /** Returns the configuration at an index that is applied. */
     configurationAt(index: LogIndex): Configuration {
-        return this.members.at(index);
+        return this.configurations.at(index);
     }
 
-    /** True when this replica may try to become leader: a voter, not bound by a promise, with a disk that takes writes. */
+    /**
+     * Returns whether this replica may campaign for leadership: it is a voter, not bound by a promise, and its disk
+     * accepts writes.
+     */
     mayCampaign(): boolean {
-        return this.clock.monotonic() >= this.fullUntil && this.isFree() && isVoter(this.configuration, this.storeId);
+        return this.clock.monotonic() >= this.diskFullUntil && this.mayVote()
+            && isVoter(this.configuration, this.storeId);
     }
 
-    /** True when no leader counts on this replica. */
-    isFree(): boolean {
-        return !this.isLeader && this.clock.monotonic() >= this.promisedUntil;
+    /** Returns whether no leader relies on this replica's promise. */
+    mayVote(): boolean {
+        return !this.hasLeadership && this.clock.monotonic() >= this.promisedUntil;
     }
 
     /**
-     * True when no leader but the candidate counts on this replica.
+     * Returns whether no leader other than the candidate relies on this replica's promise.
      *
-     * Guards against seconds without a leader: one that was just elected is unseated by a candidate that had begun before it heard
-     * of it, and all who have promised themselves to it would refuse everybody, that one too. A promise keeps others out only.
+     * Prevents seconds without a leader: a newly elected leader may be unseated by a candidate that started before it
+     * received the leader's messages. If a promise blocked all candidates, every replica that made one to the new
+     * leader would refuse everybody, including that leader. A promise therefore blocks only other candidates.
      */
-    isFreeFor(candidate: StoreId): boolean {
-        const isPromisedToIt = this.promisedTo === candidate && !this.isInRestartPause;
-        return this.isFree() || (!this.isLeader && isPromisedToIt);
+    mayVoteFor(candidate: StoreId): boolean {
+        const isPromisedToCandidate = this.promisedLeader === candidate && !this.isInRestartPause;
+        return this.mayVote() || (!this.hasLeadership && isPromisedToCandidate);
     }
 
-    /** Ties the replica to its cluster, once. */
-    async joinCluster(cluster: ClusterId, founding: Configuration): Promise<void> {
-        await this.store.saveIdentity(cluster, founding);
-        this.members.rebase(0 as LogIndex, founding, true);
+    /** Binds the replica to its cluster, once. */
+    async joinCluster(cluster: ClusterId, initialConfiguration: Configuration): Promise<void> {
+        await this.store.saveIdentity(cluster, initialConfiguration);
+        this.configurations.rebase(0 as LogIndex, initialConfiguration, true);
     }
 
     /**
-     * Makes sure that a message is for this data folder and from this cluster.
+     * Checks that a message is for this data folder and from this cluster.
      *
-     * @throws Error when it is not, which the sender sees as a failed call.
+     * @throws Error when it is not, which the sender receives as a failed call.
      */
     checkAddressee(message: MemberMessage): void {
         if (this.hasFailed) throw new Error("this replica has failed");
@@ -204,120 +215,122 @@
         if (message.cluster !== this.cluster) throw new Error("the message is from another cluster");
     }
 
-    /** Takes over a higher term, in which no vote is given yet. Answers that rest on it must await `persistVote`. */
+    /**
+     * Adopts a higher term, in which no vote has been given yet. Replies that depend on it must await `persistVote`.
+     */
     adoptTerm(term: Term): void {
         if (term <= this.term) return;
-        this.ballot.adopt(term);
+        this.votingState.advanceTerm(term);
         this.knownLeader = undefined;
         this.stepDown();
         this.changed.open();
     }
 
-    /** Starts an election: a term of its own, with its own vote. */
-    async startTerm(): Promise<Term> {
+    /** Starts a new term as a candidate, with a persisted vote for itself. */
+    async startElectionTerm(): Promise<Term> {
         const term = this.term + 1 as Term;
         this.adoptTerm(term);
-        this.ballot.give(this.storeId);
+        this.votingState.grantVote(this.storeId);
         await this.persistVote();
         return term;
     }
 
-    /** Gives the vote of the present term, if it is free or given to the same candidate already. */
-    giveVote(candidate: StoreId): boolean {
-        return this.ballot.give(candidate);
+    /** Grants the vote of the current term if none was given or it was given to the same candidate. */
+    grantVote(candidate: StoreId): boolean {
+        return this.votingState.grantVote(candidate);
     }
 
-    /** Syncs term and vote. Must be awaited before an answer that rests on them. */
+    /** Writes term and vote to disk. Must be awaited before a reply that depends on them. */
     async persistVote(): Promise<void> {
         try {
-            await this.ballot.persist();
+            await this.votingState.persist();
         }
         catch (err) {
-            this.takeStoreError(err as StoreError);
+            this.handleStoreError(err as StoreError);
             throw err;
         }
     }
 
     /**
-     * Takes note of a message from a leader and renews the promise to it.
+     * Records a message from a leader and renews the promise to it.
      *
-     * @returns False when the leader's term is over.
+     * @returns False when the leader's term is outdated.
      */
     followLeader(message: LeaderMessage): boolean {
         if (message.term < this.term) return false;
         this.adoptTerm(message.term);
-        if (this.isLeader) throw new Error(`two leaders in term ${message.term}`);
+        if (this.hasLeadership) throw new Error(`two leaders in term ${message.term}`);
         if (this.knownLeader?.storeId !== message.from) {
             this.knownLeader = { host: message.host, storeId: message.from };
             this.changed.open();
         }
-        this.promised = Math.max(this.promised, this.clock.monotonic() + this.timing.leaseMs);
-        this.promisedTo = message.from;
+        this.leaderPromiseUntil = Math.max(this.leaderPromiseUntil, this.clock.monotonic() + this.timing.leaseMs);
+        this.promisedLeader = message.from;
         return true;
     }
 
-    /** Leads in the present term, which it has won. */
-    lead(): void {
-        this.isLeader = true;
+    /** Becomes the leader of the current term, in which it has won the election. */
+    becomeLeader(): void {
+        this.hasLeadership = true;
         this.knownLeader = { host: this.host, storeId: this.storeId };
         this.changed.open();
     }
 
-    /** Ends leading, if it does. */
+    /** Stops leading. Has no effect on a replica that does not lead. */
     stepDown(): void {
-        if (!this.isLeader) return;
-        this.isLeader = false;
+        if (!this.hasLeadership) return;
+        this.hasLeadership = false;
         this.knownLeader = undefined;
         this.options.events.onStepDown();
         this.changed.open();
     }
 
-    /** Appends an entry of its own as the leader. */
-    appendOwn(payload: EntryPayload): StoredEntry {
+    /** Appends a new entry as the leader. */
+    appendAsLeader(payload: EntryPayload): StoredEntry {
         const index = this.log.lastIndex + 1 as LogIndex;
         const version = payload.kind === "command"
             ? this.options.stateMachine.entryVersionOf(payload.command)
             : undefined;
         const entry: StoredEntry = { index, term: this.term, payload: encodePayload(payload, version) };
         this.log.append([entry]);
-        if (payload.kind === "members") this.members.push(index, payload.configuration);
+        if (payload.kind === "members") this.configurations.push(index, payload.configuration);
         return entry;
     }
 
-    /** Appends the leader's entries, cutting off what stands in their place. */
+    /** Appends the leader's entries and removes conflicting ones. */
     appendFromLeader(entries: readonly StoredEntry[]): void {
         const firstNew = entries.findIndex(entry => !this.hasEntry(entry));
         if (firstNew < 0) return;
         const fresh = entries.slice(firstNew);
         if (fresh[0].index <= this.log.lastIndex) this.truncateFrom(fresh[0].index);
         this.log.append(fresh);
-        this.orFail(() => fresh.forEach(entry => this.noteConfiguration(entry)));
+        this.failOnError(() => fresh.forEach(entry => this.recordConfiguration(entry)));
     }
 
-    /** Commits and applies up to an index, but no further than what is synced here. */
+    /** Commits and applies entries up to an index, limited to those synced to the local disk. */
     commitTo(index: LogIndex): void {
         const reachable = Math.min(index, this.log.durableIndex) as LogIndex;
-        if (reachable <= this.committed || this.hasFailed) return;
-        this.committed = reachable;
-        this.orFail(() => this.applyCommitted());
+        if (reachable <= this.committedIndex || this.hasFailed) return;
+        this.committedIndex = reachable;
+        this.failOnError(() => this.applyCommitted());
     }
 
-    /** Takes over a snapshot from the leader, which is synced already, in place of state and log. */
+    /** Replaces the state, and the log where it does not match, with an already synced snapshot from the leader. */
     restoreSnapshot(index: LogIndex, term: Term, configuration: Configuration, state: Uint8Array): void {
-        if (index <= this.committed) return;
+        if (index <= this.committedIndex) return;
         this.applier.restore(index, state);
-        this.committed = index;
-        const keepsLog = this.log.termAt(index) === term && this.log.durableIndex >= index;
-        if (!keepsLog) this.log.resetTo(index, term);
-        this.members.rebase(index, configuration, keepsLog);
+        this.committedIndex = index;
+        const keepLog = this.log.termAt(index) === term && this.log.durableIndex >= index;
+        if (!keepLog) this.log.resetToSnapshot(index, term);
+        this.configurations.rebase(index, configuration, keepLog);
     }
 
-    /** The state machine's state, encoded before anything else can change it. */
+    /** State machine to which this replica applies committed entries. */
     get stateMachine(): StateMachine {
         return this.options.stateMachine;
     }
 
-    /** Ends the replica: it can't go on without doing harm. */
+    /** Ends the replica, which can't continue safely. */
     fail(err: Error): void {
         if (this.hasFailed) return;
         this.hasFailed = true;
@@ -326,15 +339,18 @@
     }
 
     private applyCommitted(): void {
-        while (this.appliedIndex < this.committed) {
+        while (this.appliedIndex < this.committedIndex) {
             const entry = this.log.entryAt(this.appliedIndex + 1 as LogIndex)!;
             const result = this.applier.apply(entry);
             this.options.events.onApplied(entry, result);
         }
     }
 
-    /** An entry that needs a newer version ends the replica before anything behind it is applied. */
-    private orFail(work: () => void): void {
+    /**
+     * Runs a function and ends the replica if it throws. An entry that requires a newer version thus ends the replica
+     * before any later entry is applied.
+     */
+    private failOnError(work: () => void): void {
         try {
             work();
         }
@@ -344,40 +360,41 @@
     }
 
     private hasEntry(entry: StoredEntry): boolean {
-        return entry.index <= this.committed || this.log.termAt(entry.index) === entry.term;
+        return entry.index <= this.committedIndex || this.log.termAt(entry.index) === entry.term;
     }
 
     private truncateFrom(index: LogIndex): void {
         this.log.truncateFrom(index);
-        this.members.dropFrom(index);
+        this.configurations.truncateFrom(index);
     }
 
-    private noteConfiguration(entry: StoredEntry): void {
+    private recordConfiguration(entry: StoredEntry): void {
         const payload = decodePayload(entry.payload);
-        if (payload.kind === "members") this.members.push(entry.index, payload.configuration);
+        if (payload.kind === "members") this.configurations.push(entry.index, payload.configuration);
     }
 
     /**
-     * A full disk: the replica stops leading, so that one with space takes over, and goes on following; each further write
-     * is tried again. Entries that the disk did not take were never acknowledged by this replica. It campaigns again after a
-     * while, since all disks may have been full at once. Any other failure ends the replica.
+     * Handles a disk failure. With a full disk, the replica stops leading, so that one with free space takes over. It
+     * continues as a follower and retries each further write; it never acknowledged the entries that the disk did not
+     * accept. It campaigns again after a pause, since all disks may have been full at the same time. Any other failure
+     * ends the replica.
      */
-    takeStoreError(err: StoreError): void {
+    handleStoreError(err: StoreError): void {
         if (err.reason !== "full") {
             this.fail(err);
             return;
         }
         const now = this.clock.monotonic();
-        if (now >= this.fullUntil) this.logger.error("disk-full", { error: err.message });
-        this.fullUntil = now + FULL_DISK_PAUSE_MS;
-        this.members.dropFrom(this.log.lastIndex + 1 as LogIndex);
+        if (now >= this.diskFullUntil) this.logger.error("disk-full", { error: err.message });
+        this.diskFullUntil = now + FULL_DISK_PAUSE_MS;
+        this.configurations.truncateFrom(this.log.lastIndex + 1 as LogIndex);
         this.stepDown();
     }
 
-    /** Waits for the writers to finish, and gives the data folder up. */
+    /** Waits for pending writes and releases the data folder. */
     async close(): Promise<void> {
         await this.log.close();
-        await this.ballot.close();
+        await this.votingState.close();
         await this.store.close();
     }
 }
--- a/src/consensus/replica/test.ts
+++ b/src/consensus/replica/test.ts
@@ -11,7 +11,7 @@
 import { Leadership } from "../leadership/index.js";
 import { DEFAULT_LOG_TIMING } from "../logTiming/index.js";
 import { addLearner, Member } from "../member/index.js";
-import { Membership } from "../membership/index.js";
+import { MembershipManager } from "../membershipManager/index.js";
 import { VoteRequest } from "../message/index.js";
 import { PeerLinks } from "../peerLinks/index.js";
 import { StateMachine } from "../stateMachine/index.js";
@@ -19,7 +19,7 @@
 
 const CLUSTER = "cluster" as ClusterId;
 
-class NoState extends StateMachine {
+class EmptyStateMachine extends StateMachine {
     apply(): void {}
     snapshot(): void {}
     restore(): void {}
@@ -44,7 +44,7 @@
     const replica = new Replica({
         host: "a" as HostId,
         store,
-        stateMachine: new NoState(),
+        stateMachine: new EmptyStateMachine(),
         clock,
         timing: DEFAULT_LOG_TIMING,
         logger: new SilentLogger(),
@@ -65,8 +65,8 @@
     const self = { host: "a" as HostId, incarnation: "1" as Incarnation };
     const linked = { network, clock, random: new SeededRandom(1), self, router: new PeerRouter() };
     const options = { ...linked, timing: DEFAULT_PEER_TIMING, logger: new SilentLogger() };
-    await replica.startTerm();
-    replica.lead();
+    await replica.startElectionTerm();
+    replica.becomeLeader();
     const leadership = new Leadership(replica, new PeerLinks(options, new Lifecycle()), () => undefined);
     leadership.start();
     await clock.advance(10);
@@ -75,23 +75,22 @@
 
 describe("Replica", () => {
     describe("a vote", () => {
-        it("is on disk when it is answered", async () => {
-            // Two hosts lead in one term, and what one of them accepted is gone.
-            // A host votes and loses power; it comes back and votes for another in the same term.
-            // Cause: the answer left before the vote was synced.
+        it("is on disk before the reply is sent", async () => {
+            // Prevents two leaders in one term, which lose what one of them accepted. A host votes, loses power, comes
+            // back and votes for another candidate in the same term, if its reply was sent before the vote was synced.
             const { clock, disk, openStore, replica } = await openReplica();
             disk.syncMs = 5;
             const request = { cluster: CLUSTER, from: "b1", to: replica.storeId, term: 7, lastIndex: 1, lastTerm: 1 };
-            const answering = new Follower(replica).answerVote({ ...request, pre: false } as VoteRequest);
+            const answering = new Follower(replica).handleVote({ ...request, pre: false } as VoteRequest);
             assert.equal((await clock.runUntil(answering, 100)).granted, true);
             disk.crash();
             assert.deepEqual((await openStore()).vote, { term: 7, votedFor: "b1" });
         });
 
-        it("for itself is on disk before others are asked", async () => {
+        it("for itself is on disk before it requests votes from others", async () => {
             const { clock, disk, openStore, replica } = await openReplica();
             disk.syncMs = 5;
-            const term = await clock.runUntil(replica.startTerm(), 100);
+            const term = await clock.runUntil(replica.startElectionTerm(), 100);
             disk.crash();
             assert.deepEqual((await openStore()).vote, { term, votedFor: replica.storeId });
         });
@@ -99,20 +98,19 @@
 
     describe("an entry of an earlier term", () => {
         it("is not committed by counting its copies", async () => {
-            // An accepted change is reverted by the next leader.
-            // A leader finds an entry of an earlier term on a majority, accepts it and goes down; a host whose last entry is
-            // newer than that one is elected and overwrites it.
-            // Cause: copies do not commit an entry of an earlier term; an entry of the leader's own term on top of it does.
+            // Prevents the next leader from reverting an accepted change. A leader finds an entry of an earlier term on
+            // a majority, accepts it and goes down; a host whose last entry is newer is elected and overwrites it.
+            // Copies alone must not commit an entry of an earlier term; a later entry of the leader's own term does.
             const { replica, follower } = await startLeadership();
-            follower["takeMatch"](1 as LogIndex, 0);
+            follower["recordMatch"](1 as LogIndex, 0);
             assert.equal(replica.commitIndex, 0);
-            follower["takeMatch"](2 as LogIndex, 0);
+            follower["recordMatch"](2 as LogIndex, 0);
             assert.equal(replica.commitIndex, 2);
         });
     });
 
     describe("a change of members", () => {
-        it("is taken back with its entry", async () => {
+        it("is reverted when its entry is removed", async () => {
             const { replica } = await openReplica();
             const { configuration } = replica;
             const changed = addLearner(configuration, makeVoter("d", "d1"));
@@ -126,29 +124,29 @@
         });
 
         it("is refused to a second process of a host whose first is alive", async () => {
-            // A healthy host is thrown out for good, and its data folder can't come back.
-            // Someone starts a second control process with the same host name and an empty folder.
-            // Cause: an unknown folder of a known host is always taken for a replaced disk.
+            // Prevents the permanent removal of a healthy host and its data folder when a second control process is
+            // started with the same host name and an empty folder. An unknown folder of a known host must not always be
+            // taken for a replaced disk.
             const { replica, follower, leadership } = await startLeadership();
-            follower["takeMatch"](2 as LogIndex, 0);
+            follower["recordMatch"](2 as LogIndex, 0);
             const address = { host: "b", port: 7001 };
-            const membership = new Membership(replica, undefined as never, address, []);
+            const membership = new MembershipManager(replica, undefined as never, address, []);
             const request = { cluster: CLUSTER, host: "b" as HostId, storeId: "b2" as StoreId, address };
-            follower["contact"] = replica.clock.monotonic();
-            assert.equal(membership.answerJoin(request, leadership).result, "busy");
-            follower["contact"] = replica.clock.monotonic() - replica.timing.leaseMs;
-            assert.equal(membership.answerJoin(request, leadership).result, "added");
+            follower["lastContactAt"] = replica.clock.monotonic();
+            assert.equal(membership.handleJoin(request, leadership).result, "busy");
+            follower["lastContactAt"] = replica.clock.monotonic() - replica.timing.leaseMs;
+            assert.equal(membership.handleJoin(request, leadership).result, "added");
         });
 
         it("waits for an entry of the leader's own term, and for the change before it", async () => {
-            // An accepted change is reverted: two leaders had majorities without a common host.
-            // A leader changes the list while an older change of it is not committed and is later taken back.
-            // Cause: majorities of lists that are two changes apart need not meet.
+            // Prevents accepted changes from being reverted by two leaders with disjoint majorities. A leader changes
+            // the configuration while an older change of it is uncommitted and is later removed. Majorities of
+            // configurations that are two changes apart need not overlap.
             const { replica, follower, leadership } = await startLeadership();
             const { configuration } = replica;
             const withD = addLearner(configuration, makeVoter("d", "d1"));
             assert.equal(leadership.changeMembers(withD), false);
-            follower["takeMatch"](2 as LogIndex, 0);
+            follower["recordMatch"](2 as LogIndex, 0);
             assert.equal(leadership.changeMembers(withD), true);
             assert.equal(leadership.changeMembers(addLearner(withD, makeVoter("e", "e1"))), false);
             assert.equal(replica.configuration.members.length, 4);
--- a/src/consensus/replicatedLog/index.ts
+++ b/src/consensus/replicatedLog/index.ts
@@ -5,23 +5,23 @@
 import { Address, Clock, Disk, Network, Random, Timer } from "../../ports/index.js";
 import { LogStore } from "../../store/index.js";
 import { PeerError, PeerIdentity, PeerRouter, PeerTiming } from "../../wire/index.js";
+import { BootstrapMember, ClusterBootstrap } from "../clusterBootstrap/index.js";
 import { ControlLog, ProposeError } from "../controlLog/index.js";
 import { Election } from "../election/index.js";
 import { Follower } from "../follower/index.js";
-import { BootstrapMember, Founding } from "../founding/index.js";
 import { Leadership } from "../leadership/index.js";
 import { DEFAULT_LOG_TIMING, LogTiming } from "../logTiming/index.js";
 import { Configuration, findVoters } from "../member/index.js";
-import { Membership } from "../membership/index.js";
+import { MembershipManager } from "../membershipManager/index.js";
 import {
     AppendRequest,
+    BootstrapStatusRequest,
     HeartbeatRequest,
     JoinRequest,
-    Method,
+    LeadershipStatusRequest,
     ReadIndexReply,
+    RpcMethod,
     SnapshotRequest,
-    StandingRequest,
-    StatusRequest,
     VoteRequest,
 } from "../message/index.js";
 import { PeerLinks } from "../peerLinks/index.js";
@@ -30,26 +30,26 @@
 import { Snapshotter } from "../snapshotter/index.js";
 import { StateMachine } from "../stateMachine/index.js";
 
-/** A connection that has gone silent is replaced before the lease that rests on it runs out. */
+/** Replaces an unresponsive connection before the lease that depends on it expires. */
 const LOG_PEER_TIMING: PeerTiming = { heartbeatMs: 500, silenceMs: 1_200 };
 
-/** What a replicated log is made of. */
+/** Options of a replicated log. */
 export interface ReplicatedLogOptions {
     readonly network: Network;
     readonly clock: Clock;
     readonly random: Random;
-    /** The data folder, used by this log alone. */
+    /** The data folder, used only by this log. */
     readonly disk: Disk;
-    /** Gets the methods that the other members call; the process serves it. */
+    /** Router on which the log registers the methods that other members call. The process serves it. */
     readonly router: PeerRouter;
     readonly self: PeerIdentity;
-    /** Where the other members reach this process. */
+    /** Address at which the other members reach this process. */
     readonly address: Address;
-    /** The control hosts by the settings, this one too: the same list on each. */
+    /** Control hosts from the settings, including this one. The list is the same on each host. */
     readonly bootstrap: readonly BootstrapMember[];
-    /** False: this replica joins a cluster and never founds one. True where left out. */
+    /** False: this replica only joins a cluster and never bootstraps one. Defaults to true. */
     readonly mayFound?: boolean;
-    /** How many voters there should be; undefined: each member becomes one. */
+    /** Desired number of voters. Undefined: each member becomes a voter. */
     readonly targetVoters?: number;
     readonly stateMachine: StateMachine;
     readonly timing?: LogTiming;
@@ -58,7 +58,7 @@
 }
 
 /**
- * The control log, replicated: one replica of it.
+ * One replica of the replicated control log.
  *
  * @example
  * const log = await ReplicatedLog.open(options);
@@ -73,18 +73,18 @@
     private readonly follower: Follower;
     private readonly restartPause: RestartPause;
     private readonly snapshotter: Snapshotter;
-    private readonly founding: Founding;
-    private readonly membership: Membership;
+    private readonly clusterBootstrap: ClusterBootstrap;
+    private readonly membershipManager: MembershipManager;
     private readonly listeners = new Set<(holds: boolean) => void>();
-    private readonly appliedMore = new Gate();
+    private readonly entryApplied = new Gate();
     private leadership: Leadership | undefined;
-    private leaseEnd: Timer | undefined;
-    private toldHolds = false;
-    private whenStopped: (err: Error | undefined) => void = () => undefined;
+    private leaseExpiryTimer: Timer | undefined;
+    private lastNotifiedHolds = false;
+    private resolveStopped: (err: Error | undefined) => void = () => undefined;
 
-    /** Settles when the log has ended: with the failure that ended it, or undefined after `close`. */
+    /** Resolves when the log has ended: with the failure that ended it, or with undefined after `close`. */
     readonly stopped = new Promise<Error | undefined>(resolve => {
-        this.whenStopped = resolve;
+        this.resolveStopped = resolve;
     });
 
     private constructor(private readonly options: ReplicatedLogOptions, store: LogStore) {
@@ -98,11 +98,11 @@
             timing,
             logger,
             events: {
-                onDurable: () => this.takeDurable(),
+                onDurable: () => this.onEntriesDurable(),
                 onApplied: (entry, result) => {
-                    this.leadership?.settle(entry, result);
-                    this.appliedMore.open();
-                    this.snapshotter.review();
+                    this.leadership?.resolveProposal(entry, result);
+                    this.entryApplied.open();
+                    this.snapshotter.takeIfDue();
                 },
                 onStepDown: () => this.endLeadership(),
                 onFailure: err => void this.end(err),
@@ -115,14 +115,27 @@
         this.snapshotter = new Snapshotter(this.replica);
         const member = { host: self.host, address: options.address };
         const { bootstrap, mayFound } = options;
-        this.founding = new Founding(this.replica, this.links, options.random, member, bootstrap, mayFound);
+        this.clusterBootstrap = new ClusterBootstrap(
+            this.replica,
+            this.links,
+            options.random,
+            member,
+            bootstrap,
+            mayFound,
+        );
         const addresses = bootstrap.map(({ address }) => address);
-        this.membership = new Membership(this.replica, this.links, options.address, addresses, options.targetVoters);
-        this.addMethods(options.router);
+        this.membershipManager = new MembershipManager(
+            this.replica,
+            this.links,
+            options.address,
+            addresses,
+            options.targetVoters,
+        );
+        this.registerHandlers(options.router);
     }
 
     /**
-     * Reads the data folder and restores the state machine. Nothing is sent before `start`.
+     * Reads the data folder and restores the state machine. Sends nothing before `start`.
      *
      * @throws StoreError when the folder is damaged or in use.
      */
@@ -132,12 +145,12 @@
         return new ReplicatedLog(options, store);
     }
 
-    /** Begins to take part. The process must serve the router already. */
+    /** Starts participating in the cluster. The process must already serve the router. */
     start(): void {
-        this.lifecycle.run(signal => this.takePart(signal), err => this.replica.fail(err as Error));
+        this.lifecycle.run(signal => this.participate(signal), err => this.replica.fail(err as Error));
     }
 
-    /** Stops taking part. What was accepted stays on disk. */
+    /** Stops participating. Accepted entries remain on disk. */
     async close(): Promise<void> {
         await this.end(undefined);
     }
@@ -160,8 +173,8 @@
 
     holder(): HostId | undefined {
         if (this.leadership) return this.holdsLease() ? this.replica.host : undefined;
-        const isHeard = this.replica.clock.monotonic() < this.replica.promisedUntil;
-        return isHeard ? this.replica.leader?.host : undefined;
+        const hasCurrentLeader = this.replica.clock.monotonic() < this.replica.promisedUntil;
+        return hasCurrentLeader ? this.replica.leader?.host : undefined;
     }
 
     appliedIndex(): LogIndex {
@@ -174,78 +187,85 @@
     }
 
     /**
-     * Waits until all that was accepted before this call is applied here.
+     * Waits until all entries accepted before this call are applied on this replica.
      *
-     * Guards against a stale read: a replica that was cut off, or a leader that slept through its successor's election,
-     * would answer from an old state. The holder has applied all that is accepted; its index is asked for after the call began.
+     * Prevents stale reads: a replica that was cut off, or a leader that was suspended during its successor's election,
+     * would answer from an old state. The holder has applied all accepted entries, and its index is requested after the
+     * call began.
      *
-     * @param timeoutMs - How long to wait, in milliseconds.
-     * @returns The index up to which the state is read.
+     * @param timeoutMs - Maximum waiting time, in milliseconds.
+     * @returns The index up to which the state is current.
      */
     async readBarrier(timeoutMs: number): Promise<Either<ProposeError, LogIndex>> {
         const { clock } = this.replica;
         const deadline = clock.monotonic() + timeoutMs;
-        const index = await this.askReadIndex(timeoutMs);
+        const index = await this.fetchReadIndex(timeoutMs);
         if (index === undefined) return Left(new ProposeError("not-holder", false, this.holder()));
         while (this.appliedIndex() < index) {
             const remaining = deadline - clock.monotonic();
             if (remaining <= 0 || this.lifecycle.isClosing) {
                 return Left(new ProposeError("not-holder", false, this.holder()));
             }
-            await this.appliedMore.wait(clock, remaining, this.lifecycle.signal);
+            await this.entryApplied.wait(clock, remaining, this.lifecycle.signal);
         }
         return Right(index);
     }
 
-    /** The members, by the newest entry here. */
+    /** Returns the newest configuration in the local log, committed or not. */
     configuration(): Configuration {
         return this.replica.configuration;
     }
 
-    /** The members, by the newest entry applied here. */
+    /** Returns the configuration at the last entry applied on this replica. */
     committedConfiguration(): Configuration {
         return this.replica.configurationAt(this.replica.appliedIndex);
     }
 
-    /** This data folder's identity. */
+    /** Store id of this replica's data folder. */
     get storeId(): StoreId {
         return this.replica.storeId;
     }
 
     /**
-     * Removes a member for good; its data folder can't come back.
+     * Removes a member permanently. Its data folder can't be used to rejoin.
      *
-     * @returns False when this replica does not lead, another change is under way, or there is no such member.
+     * @returns False when this replica does not lead, another change is pending, or there is no such member.
      */
     removeMember(storeId: StoreId): boolean {
-        return this.leadership !== undefined && this.membership.remove(storeId, this.leadership);
+        return this.leadership !== undefined && this.membershipManager.remove(storeId, this.leadership);
     }
 
-    private async takePart(signal: AbortSignal): Promise<void> {
-        await this.founding.run(signal);
+    private async participate(signal: AbortSignal): Promise<void> {
+        await this.clusterBootstrap.run(signal);
         if (signal.aborted) return;
         for (const voter of findVoters(this.replica.configuration)) {
-            if (voter.storeId !== this.storeId) this.links.to(voter.address);
+            if (voter.storeId !== this.storeId) this.links.linkTo(voter.address);
         }
         const election = new Election(this.replica, this.links, this.options.random, () => this.beginLeadership());
-        await Promise.all([election.run(signal), this.membership.run(signal), this.restartPause.run(signal)]);
+        await Promise.all([election.run(signal), this.membershipManager.run(signal), this.restartPause.run(signal)]);
     }
 
-    private addMethods(router: PeerRouter): void {
-        router.add(Method.Vote, body => this.follower.answerVote(body as VoteRequest));
-        router.add(Method.Standing, body => this.restartPause.answerStanding(body as StandingRequest));
-        router.add(Method.Heartbeat, body => this.follower.answerHeartbeat(body as HeartbeatRequest));
-        router.add(Method.Append, body => this.follower.answerAppend(body as AppendRequest));
-        router.add(Method.Snapshot, body => this.snapshotter.answerChunk(body as SnapshotRequest));
-        router.add(Method.Status, body => this.founding.answerStatus(body as StatusRequest));
-        router.add(Method.Join, body => this.membership.answerJoin(body as JoinRequest, this.leadership));
-        router.add(Method.ReadIndex, (): ReadIndexReply => this.holdsLease() ? { index: this.appliedIndex() } : {});
+    private registerHandlers(router: PeerRouter): void {
+        router.add(RpcMethod.Vote, body => this.follower.handleVote(body as VoteRequest));
+        router.add(
+            RpcMethod.LeadershipStatus,
+            body => this.restartPause.handleLeadershipStatus(body as LeadershipStatusRequest),
+        );
+        router.add(RpcMethod.Heartbeat, body => this.follower.handleHeartbeat(body as HeartbeatRequest));
+        router.add(RpcMethod.Append, body => this.follower.handleAppend(body as AppendRequest));
+        router.add(RpcMethod.Snapshot, body => this.snapshotter.handleChunk(body as SnapshotRequest));
+        router.add(
+            RpcMethod.BootstrapStatus,
+            body => this.clusterBootstrap.handleStatus(body as BootstrapStatusRequest),
+        );
+        router.add(RpcMethod.Join, body => this.membershipManager.handleJoin(body as JoinRequest, this.leadership));
+        router.add(RpcMethod.ReadIndex, (): ReadIndexReply => this.holdsLease() ? { index: this.appliedIndex() } : {});
     }
 
     /**
-     * Asks the replica that leads, by a method of the process there.
+     * Calls a method of the process that leads.
      *
-     * @param timeoutMs - How long to wait for the answer, in milliseconds.
+     * @param timeoutMs - Timeout of the call, in milliseconds.
      */
     async askHolder(method: string, body: unknown, timeoutMs: number): Promise<Either<PeerError, unknown>> {
         const address = this.findLeaderAddress();
@@ -259,21 +279,21 @@
         return configuration.members.find(({ storeId }) => storeId === leader?.storeId)?.address;
     }
 
-    private async askReadIndex(timeoutMs: number): Promise<LogIndex | undefined> {
+    private async fetchReadIndex(timeoutMs: number): Promise<LogIndex | undefined> {
         if (this.holdsLease()) return this.appliedIndex();
         const address = this.findLeaderAddress();
         if (!address) return undefined;
-        const reply = await this.links.call<ReadIndexReply>(address, Method.ReadIndex, {}, timeoutMs);
+        const reply = await this.links.call<ReadIndexReply>(address, RpcMethod.ReadIndex, {}, timeoutMs);
         return reply.map(({ index }) => index).orDefault(undefined);
     }
 
-    private takeDurable(): void {
+    private onEntriesDurable(): void {
         this.leadership?.advanceCommit();
-        if (!this.leadership) this.follower.takeDurable();
+        if (!this.leadership) this.follower.commitDurable();
     }
 
     private beginLeadership(): void {
-        this.leadership = new Leadership(this.replica, this.links, () => this.reviewLease());
+        this.leadership = new Leadership(this.replica, this.links, () => this.onLeaseExtended());
         this.leadership.start();
         this.replica.logger.info("leader-elected", { term: this.replica.term });
     }
@@ -282,27 +302,30 @@
         const { leadership } = this;
         this.leadership = undefined;
         this.replica.logger.info("leader-stepped-down", { term: leadership?.term });
-        this.tellHolder();
+        this.notifyHolderChange();
         void leadership?.close();
     }
 
-    private reviewLease(): void {
+    private onLeaseExtended(): void {
         if (!this.leadership) return;
-        this.tellHolder();
-        this.membership.review(this.leadership);
+        this.notifyHolderChange();
+        this.membershipManager.applyDueChange(this.leadership);
     }
 
-    /** Tells the listeners of a change, and comes back when the lease would run out. */
-    private tellHolder(): void {
+    /** Notifies the listeners if the lease was gained or lost, and schedules a check for when it would expire. */
+    private notifyHolderChange(): void {
         const holds = this.holdsLease();
-        this.leaseEnd?.cancel();
+        this.leaseExpiryTimer?.cancel();
         if (holds) {
             const remaining = this.leadership!.leaseUntil() - this.replica.clock.elapsed();
-            const mostMs = this.replica.timing.leaseMs;
-            this.leaseEnd = this.replica.clock.after(Math.min(remaining, mostMs), () => this.tellHolder());
+            const maxMs = this.replica.timing.leaseMs;
+            this.leaseExpiryTimer = this.replica.clock.after(
+                Math.min(remaining, maxMs),
+                () => this.notifyHolderChange(),
+            );
         }
-        if (holds === this.toldHolds) return;
-        this.toldHolds = holds;
+        if (holds === this.lastNotifiedHolds) return;
+        this.lastNotifiedHolds = holds;
         for (const listener of this.listeners) listener(holds);
     }
 
@@ -310,6 +333,6 @@
         const closing = this.lifecycle.close();
         this.replica.stepDown();
         await closing;
-        this.whenStopped(err);
+        this.resolveStopped(err);
     }
 }
--- a/src/consensus/replicatedLog/test.ts
+++ b/src/consensus/replicatedLog/test.ts
@@ -5,8 +5,8 @@
 import { SeededRandom } from "../../ports/index.js";
 import { encodeValue } from "../../wire/index.js";
 
-const SEEDS = 24;
-const STEPS = 10;
+const SEED_COUNT = 24;
+const STEP_COUNT = 10;
 
 async function startFleet(seed = 1) {
     const fleet = new ReplicaFleet(new SeededRandom(seed), ["a", "b", "c"]);
@@ -15,23 +15,23 @@
     return fleet;
 }
 
-function namesBut(fleet: ReplicaFleet, ...names: string[]) {
+function namesExcept(fleet: ReplicaFleet, ...names: string[]) {
     return [...fleet.hosts.keys()].filter(name => !names.includes(name));
 }
 
 describe("ReplicatedLog", () => {
     describe("propose", () => {
-        it("applies what was accepted on each replica, in one order", async () => {
+        it("applies accepted entries on each replica, in the same order", async () => {
             const fleet = await startFleet();
             await fleet.proposeMany(200);
             await fleet.converge();
             assert.equal(fleet.find("a").process!.recorder.commands.length, 201);
         });
 
-        it("names the holder when asked elsewhere", async () => {
+        it("names the holder when called on another replica", async () => {
             const fleet = await startFleet();
             const holder = fleet.holder()!;
-            const other = fleet.find(namesBut(fleet, holder.name)[0]).process!;
+            const other = fleet.find(namesExcept(fleet, holder.name)[0]).process!;
             const result = await fleet.clock.runUntil(other.log.propose("x"), 100);
             result.ifLeft(err =>
                 assert.deepEqual([err.reason, err.mayCommit, err.holder], ["not-holder", false, holder.name])
@@ -41,21 +41,21 @@
     });
 
     describe("random schedules of faults", () => {
-        for (let seed = 1; seed <= SEEDS; seed++) {
-            it(`keeps every promise with seed ${seed}`, async () => {
-                // An accepted change is lost, doubled or reverted, or two hosts act at once.
-                // Crashes, torn tails, lost disks, cuts, freezes, full and slow disks, and changes of members, at random.
-                // Cause: whichever guard the schedule finds missing.
-                await runSchedule(seed, STEPS);
+        for (let seed = 1; seed <= SEED_COUNT; seed++) {
+            it(`upholds all invariants with seed ${seed}`, async () => {
+                // Prevents accepted changes from being lost, duplicated or reverted, and two hosts from acting at the
+                // same time. Applies random crashes, torn writes, lost disks, network cuts, freezes, full and slow
+                // disks, and membership changes. A failure shows that a safeguard is missing.
+                await runSchedule(seed, STEP_COUNT);
             });
         }
     });
 
     describe("a restart of all replicas", () => {
         it("restores hundreds of changes", async () => {
-            // A change that an operator saw accepted is gone after a power cut.
-            // Hundreds of changes are accepted; all hosts lose power at once and come back.
-            // Cause: an acknowledgement before the sync, or a snapshot that replaced entries it did not have.
+            // Prevents the loss of an acknowledged change after a power cut. Hundreds of changes are accepted, and all
+            // hosts lose power at the same time and come back. Causes would be an acknowledgement before the sync, or a
+            // snapshot that replaced entries it did not contain.
             const fleet = await startFleet();
             await fleet.proposeMany(300);
             for (const name of fleet.hosts.keys()) fleet.crash(name, 3);
@@ -64,11 +64,11 @@
         });
     });
 
-    describe("a holder that is frozen and wakes", () => {
-        it("does not hold the lease on waking, and its successor's token is greater", async () => {
-            // Upstreams get orders from two hosts.
-            // The holder's process is stopped for a minute; another takes over; the first wakes and goes on.
-            // Cause: the lease is a flag that only a timer clears, and the timer has not run yet.
+    describe("a holder that is frozen and resumes", () => {
+        it("does not hold the lease on resuming, and its successor's token is greater", async () => {
+            // Prevents two hosts from sending orders to upstreams. The holder's process is stopped for a minute,
+            // another takes over, and the first resumes. The lease must not be a flag that only a timer clears, since
+            // the timer has not run yet.
             const fleet = await startFleet();
             const first = fleet.holder()!.process!;
             const token = first.log.fencingToken();
@@ -81,36 +81,34 @@
             await fleet.converge();
         });
 
-        it("tells its listeners", async () => {
+        it("notifies its listeners", async () => {
             const fleet = await startFleet();
             const first = fleet.holder()!.process!;
-            const told: boolean[] = [];
-            first.log.onHolderChange(holds => told.push(holds));
+            const notified: boolean[] = [];
+            first.log.onHolderChange(holds => notified.push(holds));
             first.host.freeze();
             await fleet.pass(10_000);
             first.host.thaw();
             await fleet.pass(1_000);
-            assert.deepEqual(told, [false]);
+            assert.deepEqual(notified, [false]);
         });
     });
 
-    describe("a holder that no longer hears the others", () => {
+    describe("a holder that receives nothing from the others", () => {
         it("steps down, so that another is elected", async () => {
-            // All changes hang although a majority of the hosts works.
-            // What the others send to the holder is lost; what it sends arrives.
-            // Cause: its heartbeats keep the others from electing another leader.
+            // Prevents changes from hanging although a majority of the hosts works. Messages to the holder are lost
+            // while its own arrive, so that its heartbeats keep the others from electing another leader.
             const fleet = await startFleet();
             const first = fleet.holder()!;
-            for (const other of namesBut(fleet, first.name)) fleet.fabric.cut(other, first.name);
+            for (const other of namesExcept(fleet, first.name)) fleet.fabric.cut(other, first.name);
             await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder() !== first, 20_000);
         });
     });
 
     describe("a holder that is cut off from all", () => {
-        it("tells its proposers that their entry may be lost", async () => {
-            // A change neither succeeds nor fails: the operator's tool waits for good.
-            // The holder is cut off while a change is under way.
-            // Cause: the holder goes on leading for as long as it hears of no later term.
+        it("reports to its proposers that their entry may be lost", async () => {
+            // Prevents a change from neither succeeding nor failing, so that the operator's tool waits forever. The
+            // holder is cut off while a change is pending, and must not keep leading until it learns of a later term.
             const fleet = await startFleet();
             const holder = fleet.holder()!;
             fleet.fabric.isolate(holder.name, [...fleet.hosts.keys()], true);
@@ -122,12 +120,11 @@
 
     describe("a slow disk", () => {
         it("does not cost the holder its lease", async () => {
-            // Orders stop for seconds whenever a disk is busy.
-            // One of three hosts is down, and each sync of another takes five seconds.
-            // Cause: a heartbeat is answered only after the sync that came before it.
+            // Prevents orders from stopping for seconds whenever a disk is busy. One of three hosts is down, and each
+            // sync of another takes five seconds. A heartbeat must not wait for the sync before it.
             const fleet = await startFleet();
             const holder = fleet.holder()!;
-            const [slow, down] = namesBut(fleet, holder.name);
+            const [slow, down] = namesExcept(fleet, holder.name);
             fleet.crash(down);
             fleet.find(slow).disk.syncMs = 5_000;
             fleet.propose(holder.process!);
@@ -141,12 +138,12 @@
 
     describe("a connection that has gone silent", () => {
         it("does not cost the holder its lease", async () => {
-            // Orders stop for seconds although both hosts are up and can reach each other.
-            // One of three hosts is down; a middlebox forgets the connections between the other two.
-            // Cause: the connection is found dead only after the lease has run out.
+            // Prevents orders from stopping for seconds although both hosts are up and can reach each other. One of
+            // three hosts is down, and a middlebox drops the connections between the other two. The dead connection
+            // must be detected before the lease expires.
             const fleet = await startFleet();
             const holder = fleet.holder()!;
-            const [other, down] = namesBut(fleet, holder.name);
+            const [other, down] = namesExcept(fleet, holder.name);
             fleet.crash(down);
             for (let round = 0; round < 10; round++) {
                 fleet.fabric.forget(holder.name, other);
@@ -159,10 +156,10 @@
     });
 
     describe("a full disk at the holder", () => {
-        it("hands over to another and loses nothing", async () => {
-            // Changes are refused for as long as one host's disk is full, or an accepted one is gone.
-            // The holder's disk fills up while changes come in; later there is space again.
-            // Cause: the holder goes on leading without being able to write.
+        it("hands over to another host and loses no accepted entry", async () => {
+            // Prevents changes from being refused while one host's disk is full, and the loss of accepted changes. The
+            // holder's disk fills up while changes arrive, and later has free space again. The holder must not continue
+            // to lead without being able to write.
             const fleet = await startFleet();
             await fleet.proposeMany(20);
             const first = fleet.holder()!;
@@ -178,7 +175,7 @@
     describe("a replica that was down for long", () => {
         it("gets the leader's snapshot in chunks", async () => {
             const fleet = await startFleet();
-            const lagging = namesBut(fleet, fleet.holder()!.name)[0];
+            const lagging = namesExcept(fleet, fleet.holder()!.name)[0];
             fleet.crash(lagging);
             for (let round = 0; round < 30; round++) await fleet.proposeMany(5, "x".repeat(10_000));
             await fleet.start(lagging);
@@ -187,9 +184,9 @@
     });
 
     describe("readBarrier", () => {
-        it("waits until a follower has what was accepted before", async () => {
+        it("waits until a follower has applied all entries accepted before", async () => {
             const fleet = await startFleet();
-            const follower = fleet.find(namesBut(fleet, fleet.holder()!.name)[0]).process!;
+            const follower = fleet.find(namesExcept(fleet, fleet.holder()!.name)[0]).process!;
             await fleet.proposeMany(10);
             const accepted = fleet.holder()!.process!.log.appliedIndex();
             const result = await fleet.clock.runUntil(follower.log.readBarrier(2_000), 3_000);
@@ -209,12 +206,11 @@
 
     describe("an entry of a newer version", () => {
         it("stops an older replica instead of being skipped", async () => {
-            // Hosts answer differently for good after a rolling restart.
-            // A host of the new version leads and writes an entry that the old version does not know.
-            // Cause: the old one skips it.
+            // Prevents hosts from giving permanently different answers after a rolling restart. A leader of a newer
+            // version appends an entry that an older replica does not know, and the older replica must not skip it.
             const fleet = await startFleet();
             const holder = fleet.holder()!.process!;
-            const other = fleet.find(namesBut(fleet, fleet.holder()!.name)[0]).process!;
+            const other = fleet.find(namesExcept(fleet, fleet.holder()!.name)[0]).process!;
             let stoppedBy: Error | undefined;
             void other.log.stopped.then(err => stoppedBy = err);
             const replica = holder.log["replica"];
@@ -233,7 +229,7 @@
     });
 
     describe("a field that a replica does not know", () => {
-        it("reaches the other replicas", async () => {
+        it("is preserved on the other replicas", async () => {
             const fleet = await startFleet();
             const holder = fleet.holder()!.process!;
             const replica = holder.log["replica"];
--- a/src/consensus/replicator/index.ts
+++ b/src/consensus/replicator/index.ts
@@ -9,43 +9,43 @@
     HeartbeatReply,
     HeartbeatRequest,
     LeaderMessage,
-    Method,
+    RpcMethod,
     SnapshotReply,
     SnapshotRequest,
 } from "../message/index.js";
 import { PeerLinks } from "../peerLinks/index.js";
 import { Replica } from "../replica/index.js";
 
-const MOST_BATCH_BYTES = 256 * 1024;
-const MOST_IN_FLIGHT = 8;
-const CHUNK_BYTES = 256 * 1024;
+const MAX_BATCH_BYTES = 256 * 1024;
+const MAX_IN_FLIGHT_BATCHES = 8;
+const SNAPSHOT_CHUNK_BYTES = 256 * 1024;
 
-/** Told of what a peer acknowledged. */
+/** Callbacks for the acknowledgements of a peer. */
 export interface ReplicatorListener {
-    /** The peer has synced more entries. */
+    /** Called when the peer has synced more entries. */
     onMatch(): void;
-    /** The peer renewed its promise. */
+    /** Called when the peer has renewed its promise. */
     onContact(): void;
 }
 
 /**
- * Brings one peer up to date during one leader's term: one task for heartbeats and one for entries, so that a peer whose
- * disk is slow still renews the lease.
+ * Replicates the log to one peer during one leader's term. Heartbeats and entries are sent by separate tasks, so that a
+ * peer with a slow disk still renews the lease.
  *
  * @example
  * replicator.start();
  */
 export class Replicator {
     private readonly lifecycle = new Lifecycle();
-    private readonly work = new Gate();
+    private readonly workAvailable = new Gate();
     private readonly term: Term;
-    private next: LogIndex;
-    private matched = 0 as LogIndex;
-    private contact: number;
+    private nextIndex: LogIndex;
+    private matchedIndex = 0 as LogIndex;
+    private lastContactAt: number;
     private inFlight = 0;
     private isProbing = true;
-    /** Raised when sending starts anew, so that refusals of what was sent before are ignored. */
-    private round = 0;
+    /** Incremented when sending restarts, so that rejections of earlier batches are ignored. */
+    private sendGeneration = 0;
 
     constructor(
         readonly member: Member,
@@ -54,70 +54,71 @@
         private readonly listener: ReplicatorListener,
     ) {
         this.term = replica.term;
-        this.next = replica.log.lastIndex + 1 as LogIndex;
-        this.contact = Number.NEGATIVE_INFINITY;
+        this.nextIndex = replica.log.lastIndex + 1 as LogIndex;
+        this.lastContactAt = Number.NEGATIVE_INFINITY;
     }
 
-    /** The last index known to be synced at the peer. */
+    /** Last index known to be synced on the peer. */
     get matchIndex(): LogIndex {
-        return this.matched;
+        return this.matchedIndex;
     }
 
-    /** When the newest heartbeat that the peer answered left here, as `Clock.elapsed` counts. */
+    /** Time (`Clock.elapsed`) at which the newest heartbeat that the peer answered was sent. */
     get contactAt(): number {
-        return this.contact;
+        return this.lastContactAt;
     }
 
     start(): void {
-        this.links.to(this.member.address);
+        this.links.linkTo(this.member.address);
         const onError = (err: unknown): void => this.replica.fail(err as Error);
-        this.lifecycle.run(signal => this.sendHeartbeats(signal), onError);
-        this.lifecycle.run(signal => this.sendEntries(signal), onError);
+        this.lifecycle.run(signal => this.runHeartbeats(signal), onError);
+        this.lifecycle.run(signal => this.runReplication(signal), onError);
     }
 
     /** Wakes the task that sends entries. */
     wake(): void {
-        this.work.open();
+        this.workAvailable.open();
     }
 
     close(): Promise<void> {
         return this.lifecycle.close();
     }
 
-    /** Sends a heartbeat at once, besides those of the task. */
-    async beat(): Promise<void> {
+    /** Sends a heartbeat immediately. */
+    async sendHeartbeat(): Promise<void> {
         const { replica } = this;
-        // Taken before the request leaves: the peer's promise starts later, so the lease counted from here ends earlier.
+        // Read before the request is sent: the peer's promise starts later, so the lease counted from here ends
+        // earlier.
         const sentAt = replica.clock.elapsed();
         const request: HeartbeatRequest = { ...this.header(), commit: replica.commitIndex };
-        const reply = await this.call<HeartbeatReply>(Method.Heartbeat, request, replica.timing.leaseMs);
+        const reply = await this.call<HeartbeatReply>(RpcMethod.Heartbeat, request, replica.timing.leaseMs);
         reply.ifRight(({ ok }) => {
             if (!ok) return;
-            this.contact = Math.max(this.contact, sentAt);
+            this.lastContactAt = Math.max(this.lastContactAt, sentAt);
             this.listener.onContact();
         });
     }
 
-    private async sendHeartbeats(signal: AbortSignal): Promise<void> {
+    private async runHeartbeats(signal: AbortSignal): Promise<void> {
         const { clock, timing } = this.replica;
         while (!signal.aborted) {
-            void this.beat();
+            void this.sendHeartbeat();
             await clock.sleep(timing.heartbeatMs, signal);
         }
     }
 
-    private async sendEntries(signal: AbortSignal): Promise<void> {
+    private async runReplication(signal: AbortSignal): Promise<void> {
         const { clock, timing, log } = this.replica;
         while (!signal.aborted) {
-            const mostInFlight = this.isProbing ? 1 : MOST_IN_FLIGHT;
-            const hasWork = this.isProbing || this.next <= log.lastIndex;
-            if (!hasWork || this.inFlight >= mostInFlight) {
-                await this.work.wait(clock, timing.leaseMs, signal);
+            const maxInFlight = this.isProbing ? 1 : MAX_IN_FLIGHT_BATCHES;
+            const hasWork = this.isProbing || this.nextIndex <= log.lastIndex;
+            if (!hasWork || this.inFlight >= maxInFlight) {
+                await this.workAvailable.wait(clock, timing.leaseMs, signal);
             }
-            else if (!this.links.to(this.member.address).isOpen) {
+            else if (!this.links.linkTo(this.member.address).isOpen) {
                 await clock.sleep(timing.heartbeatMs / 4, signal);
             }
-            else if (this.next < log.firstIndex) {
+            else if (this.nextIndex < log.firstIndex) {
                 await this.sendSnapshot(signal);
             }
             else {
@@ -127,10 +128,10 @@
     }
 
     private async sendBatch(signal: AbortSignal): Promise<void> {
-        const { replica, round } = this;
+        const { replica, sendGeneration: generation } = this;
         const { log, timing } = replica;
-        const prevIndex = this.next - 1 as LogIndex;
-        const entries = log.slice(this.next, MOST_BATCH_BYTES);
+        const prevIndex = this.nextIndex - 1 as LogIndex;
+        const entries = log.slice(this.nextIndex, MAX_BATCH_BYTES);
         const request: AppendRequest = {
             ...this.header(),
             prevIndex,
@@ -138,37 +139,45 @@
             commit: replica.commitIndex,
             entries: entries.map(({ term, payload }) => [term, payload] as const),
         };
-        this.next = this.next + entries.length as LogIndex;
+        this.nextIndex = this.nextIndex + entries.length as LogIndex;
         this.inFlight++;
-        const reply = await this.call<AppendReply>(Method.Append, request, timing.appendTimeoutMs);
+        const reply = await this.call<AppendReply>(RpcMethod.Append, request, timing.appendTimeoutMs);
         this.inFlight--;
         if (signal.aborted) return;
         await reply.caseOf({
-            Left: () => this.restart(this.matched + 1 as LogIndex, round, true, signal),
+            Left: () => this.restartFrom(this.matchedIndex + 1 as LogIndex, generation, true, signal),
             Right: ({ ok, lastIndex }) => {
-                if (ok) return this.takeMatch(prevIndex + entries.length as LogIndex, round);
-                const retry = Math.max(this.matched, Math.min(prevIndex - 1, lastIndex)) + 1 as LogIndex;
-                return this.restart(retry, round, retry > prevIndex, signal);
+                if (ok) return this.recordMatch(prevIndex + entries.length as LogIndex, generation);
+                const retry = Math.max(this.matchedIndex, Math.min(prevIndex - 1, lastIndex)) + 1 as LogIndex;
+                return this.restartFrom(retry, generation, retry > prevIndex, signal);
             },
         });
-        this.work.open();
+        this.workAvailable.open();
     }
 
-    private takeMatch(index: LogIndex, round: number): void {
-        if (round === this.round) this.isProbing = false;
-        if (index <= this.matched) return;
-        this.matched = index;
-        this.next = Math.max(this.next, index + 1) as LogIndex;
+    private recordMatch(index: LogIndex, generation: number): void {
+        if (generation === this.sendGeneration) this.isProbing = false;
+        if (index <= this.matchedIndex) return;
+        this.matchedIndex = index;
+        this.nextIndex = Math.max(this.nextIndex, index + 1) as LogIndex;
         this.listener.onMatch();
     }
 
-    /** Sends from an index on, one batch at a time until one fits. The pause keeps a peer that fails from being flooded. */
-    private async restart(next: LogIndex, round: number, pauses: boolean, signal: AbortSignal): Promise<void> {
-        if (round !== this.round) return;
-        this.round++;
+    /**
+     * Restarts sending at an index, one batch at a time until the peer accepts one. The delay avoids flooding a failing
+     * peer.
+     */
+    private async restartFrom(
+        index: LogIndex,
+        generation: number,
+        withDelay: boolean,
+        signal: AbortSignal,
+    ): Promise<void> {
+        if (generation !== this.sendGeneration) return;
+        this.sendGeneration++;
         this.isProbing = true;
-        this.next = next;
-        if (!pauses) return;
+        this.nextIndex = index;
+        if (!withDelay) return;
         const { clock, timing } = this.replica;
         this.inFlight++;
         await clock.sleep(timing.heartbeatMs / 4, signal);
@@ -178,23 +187,23 @@
     private async sendSnapshot(signal: AbortSignal): Promise<void> {
         const { replica } = this;
         const snapshot = await replica.store.readSnapshot();
-        if (!snapshot) throw new Error("the log was cut without a snapshot");
+        if (!snapshot) throw new Error("the log was compacted without a snapshot");
         const { index, term: indexTerm, state, configuration } = snapshot;
         const size = state.length;
-        for (let offset = 0; offset === 0 || offset < size; offset += CHUNK_BYTES) {
-            const bytes = state.subarray(offset, offset + CHUNK_BYTES);
+        for (let offset = 0; offset === 0 || offset < size; offset += SNAPSHOT_CHUNK_BYTES) {
+            const bytes = state.subarray(offset, offset + SNAPSHOT_CHUNK_BYTES);
             const chunk = { index, indexTerm, configuration, offset, size, bytes };
             const request = { ...this.header(), ...chunk } as SnapshotRequest;
-            const reply = await this.call<SnapshotReply>(Method.Snapshot, request, replica.timing.appendTimeoutMs);
+            const reply = await this.call<SnapshotReply>(RpcMethod.Snapshot, request, replica.timing.appendTimeoutMs);
             if (signal.aborted) return;
             if (!reply.map(({ ok }) => ok).orDefault(false)) {
                 await replica.clock.sleep(replica.timing.heartbeatMs, signal);
                 return;
             }
         }
-        this.round++;
+        this.sendGeneration++;
         this.isProbing = true;
-        this.next = index + 1 as LogIndex;
+        this.nextIndex = index + 1 as LogIndex;
     }
 
     private header(): LeaderMessage {
@@ -202,7 +211,7 @@
         return { cluster: cluster!, from: storeId, to: this.member.storeId, term: this.term, host };
     }
 
-    /** Asks the peer, and steps down when it answers from a later term. */
+    /** Calls the peer, and steps down when it replies from a later term. */
     private async call<Reply extends { readonly term: Term; }>(
         method: string,
         body: unknown,
--- a/src/consensus/snapshotter/index.ts
+++ b/src/consensus/snapshotter/index.ts
@@ -4,7 +4,7 @@
 import { SnapshotReply, SnapshotRequest } from "../message/index.js";
 import { Replica } from "../replica/index.js";
 
-interface Incoming {
+interface IncomingSnapshot {
     readonly index: LogIndex;
     readonly from: string;
     readonly bytes: Uint8Array;
@@ -12,31 +12,34 @@
 }
 
 /**
- * Takes snapshots so that the log stays short, and receives the leader's.
+ * Takes snapshots to keep the log short, and receives snapshots from the leader.
  *
  * @example
- * snapshotter.review(); // after entries were applied
+ * snapshotter.takeIfDue(); // after entries were applied
  */
 export class Snapshotter {
-    private incoming: Incoming | undefined;
+    private incoming: IncomingSnapshot | undefined;
     private isSaving = false;
 
     constructor(private readonly replica: Replica) {}
 
     /** Starts a snapshot when enough entries have been applied since the last one. */
-    review(): void {
+    takeIfDue(): void {
         const { store, appliedIndex, timing } = this.replica;
-        const since = appliedIndex - (store.snapshot?.index ?? 0);
-        if (since >= timing.snapshotEntries && !this.isSaving) void this.take();
+        const entriesSince = appliedIndex - (store.snapshot?.index ?? 0);
+        if (entriesSince >= timing.snapshotEntries && !this.isSaving) void this.takeSnapshot();
     }
 
-    /** Takes one chunk of the leader's snapshot; the last one is answered once all is synced and in force. */
-    async answerChunk(req: SnapshotRequest): Promise<SnapshotReply> {
+    /**
+     * Stores one chunk of the leader's snapshot. The reply to the last chunk is sent once the snapshot is synced and
+     * restored.
+     */
+    async handleChunk(req: SnapshotRequest): Promise<SnapshotReply> {
         const { replica } = this;
         replica.checkAddressee(req);
         if (!replica.followLeader(req)) return { term: replica.term, ok: false };
         if (req.index <= replica.commitIndex) return { term: replica.term, ok: true };
-        const incoming = this.expectChunk(req);
+        const incoming = this.matchTransfer(req);
         if (!incoming) return { term: replica.term, ok: false };
         incoming.bytes.set(req.bytes, req.offset);
         incoming.received = req.offset + req.bytes.length;
@@ -46,20 +49,23 @@
         return { term: replica.term, ok: isInstalled };
     }
 
-    /** The state is encoded in the same step that reads it, so that later entries can't mix in. */
-    private async take(): Promise<void> {
+    /**
+     * Saves a snapshot and compacts the log. The state is encoded in the same synchronous step that reads it, so that
+     * it can't contain later entries.
+     */
+    private async takeSnapshot(): Promise<void> {
         const { replica } = this;
         const index = replica.appliedIndex;
         const term = replica.log.termAt(index);
         if (term === undefined) return;
         const configuration = replica.configurationAt(index);
         const state = encodeValue(replica.stateMachine.snapshot());
-        await this.save(() => replica.store.saveSnapshot({ index, term, configuration, state }));
+        await this.runSave(() => replica.store.saveSnapshot({ index, term, configuration, state }));
         if (replica.store.snapshot?.index !== index) return;
-        replica.log.compactTo(index - replica.timing.trailingEntries as LogIndex);
+        replica.log.compactThrough(index - replica.timing.trailingEntries as LogIndex);
     }
 
-    private expectChunk(req: SnapshotRequest): Incoming | undefined {
+    private matchTransfer(req: SnapshotRequest): IncomingSnapshot | undefined {
         if (req.offset === 0) {
             const bytes = new Uint8Array(req.size);
             this.incoming = { index: req.index, from: req.from, bytes, received: 0 };
@@ -74,19 +80,19 @@
         const { index, indexTerm: term, configuration } = req;
         if (this.isSaving) return false;
         await replica.persistVote();
-        await this.save(() => replica.store.saveSnapshot({ index, term, configuration, state }));
+        await this.runSave(() => replica.store.saveSnapshot({ index, term, configuration, state }));
         if (replica.store.snapshot?.index !== index) return false;
         replica.restoreSnapshot(index, term, configuration, state);
         return true;
     }
 
-    private async save(write: () => Promise<void>): Promise<void> {
+    private async runSave(write: () => Promise<void>): Promise<void> {
         this.isSaving = true;
         try {
             await write();
         }
         catch (err) {
-            this.replica.takeStoreError(err as StoreError);
+            this.replica.handleStoreError(err as StoreError);
         }
         finally {
             this.isSaving = false;
--- a/src/consensus/stateMachine/index.ts
+++ b/src/consensus/stateMachine/index.ts
@@ -1,35 +1,39 @@
 import { LogIndex } from "../../ids/index.js";
 
-/** What a committed entry is applied at. */
+/** Context in which a committed entry is applied. */
 export interface ApplyContext {
     readonly index: LogIndex;
-    /** Wall time at the proposer, in milliseconds since the epoch: the same on each replica, unlike its own clock. */
+    /**
+     * Wall-clock time of the proposer, in milliseconds since the epoch. Identical on every replica, unlike the
+     * replica's own clock.
+     */
     readonly proposedAt: number;
 }
 
 /**
- * What the control log keeps alike on all its replicas. All its state comes from `apply` and `restore`: no clock, no
- * chance, nothing of the host.
+ * State that the control log replicates. It may change only through `apply` and `restore` and must not depend on a
+ * clock, on randomness or on the host.
  */
 export abstract class StateMachine {
     /**
-     * Takes in a committed entry.
+     * Applies a committed entry.
      *
-     * @param command - The value proposed, as decoded from the log.
-     * @returns What the proposer gets; a value msgpack can carry.
+     * @param command - The proposed value, decoded from the log.
+     * @returns The result for the proposer: a value that msgpack can encode.
      */
     abstract apply(command: unknown, context: ApplyContext): unknown;
 
     /**
-     * The lowest version of programs that know a command. An older replica stops at it, where skipping it would let the replicas' states part.
+     * Returns the lowest program version that can apply a command. An older replica stops at the command, because
+     * skipping it would let the replicas' states diverge.
      */
     entryVersionOf(_command: unknown): number {
         return 1;
     }
 
-    /** The whole state, as a value msgpack can carry. */
+    /** Returns the whole state as a value that msgpack can encode. */
     abstract snapshot(): unknown;
 
-    /** Replaces the whole state by a snapshot's. */
+    /** Replaces the whole state with that of a snapshot. */
     abstract restore(snapshot: unknown): void;
 }
