--- a/src/consensus/entryLog/index.ts
+++ b/src/consensus/entryLog/index.ts
@@ -52,7 +52,7 @@
      * @param listener - Notified of progress and failures.
      */
     constructor(private readonly store: LogStore, private readonly listener: EntryLogListener) {
-        this.entries = store.takeEntries();
+        this.entries = store.takeLoadedEntries();
         const first = this.entries.at(0);
         this.baseIndex = (first ? first.index - 1 : store.snapshot?.index ?? 0) as LogIndex;
         this.baseTerm = store.snapshot?.index === this.baseIndex ? store.snapshot.term : 0 as Term;
@@ -130,7 +130,7 @@
         this.entries = this.entries.slice(index - this.baseIndex);
         this.baseIndex = index;
         this.baseTerm = term;
-        void this.writer.add(() => this.runWrite(() => this.store.dropBefore(index)));
+        void this.writer.add(() => this.runWrite(() => this.store.removeSegmentsBefore(index)));
     }
 
     /** Replaces all entries by a snapshot that is already synced. */
--- a/src/consensus/entryLog/test.ts
+++ b/src/consensus/entryLog/test.ts
@@ -62,7 +62,7 @@
             await clock.advance(20);
             assert.equal(log.durableIndex, 2);
             disk.crash();
-            assert.deepEqual((await open()).takeEntries().map(entry => entry.term), [1, 2]);
+            assert.deepEqual((await open()).takeLoadedEntries().map(entry => entry.term), [1, 2]);
         });
     });
 });
--- a/src/consensus/memberHistory/index.ts
+++ b/src/consensus/memberHistory/index.ts
@@ -41,7 +41,7 @@
 
     /** Returns the configuration in effect at an index. */
     at(index: LogIndex): Configuration {
-        return this.configurations.findLast(list => list.index <= index)!.configuration;
+        return this.configurations.findLast(item => item.index <= index)!.configuration;
     }
 
     push(index: LogIndex, configuration: Configuration): void {
@@ -60,7 +60,7 @@
      * it.
      */
     rebase(index: LogIndex, configuration: Configuration, keepLater: boolean): void {
-        const later = keepLater ? this.configurations.filter(list => list.index > index) : [];
+        const later = keepLater ? this.configurations.filter(item => item.index > index) : [];
         this.configurations = [{ index, configuration }, ...later];
         this.onChange();
     }
--- a/src/consensus/replica/index.ts
+++ b/src/consensus/replica/index.ts
@@ -98,7 +98,7 @@
         const members = store.snapshot ? store.snapshot.configuration : store.identity.founding;
         const base = members as Configuration | undefined ?? EMPTY_CONFIGURATION;
         this.configurations = new MemberHistory(this.committedIndex, base, () => this.changed.open());
-        const state = store.takeSnapshotState();
+        const state = store.takeLoadedSnapshotState();
         if (state) this.applier.restore(this.committedIndex, state);
         const rest = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
         for (const entry of rest) this.recordConfiguration(entry);
--- a/src/store/checkedFile/index.ts
+++ b/src/store/checksummedFile/index.ts
@@ -1,21 +1,21 @@
 import { crc32 } from "@node-rs/crc32";
 import { Disk } from "../../ports/index.js";
 import { decodeValue, encodeValue } from "../../wire/index.js";
-import { StoreError, turnDiskError } from "../storeError/index.js";
+import { StoreError, toStoreError } from "../storeError/index.js";
 
 const CHECKSUM_BYTES = 4;
 
 /**
- * Replaces a file by a value with its checksum, as a whole and synced.
+ * Replaces a file atomically with a value and its checksum, and syncs it.
  *
- * @param disk - Where.
- * @param path - The file.
- * @param value - A value msgpack can carry.
+ * @param disk - Disk that contains the file.
+ * @param path - Path of the file.
+ * @param value - A value that msgpack can encode.
  * @throws StoreError
  * @example
- * await replaceChecked(disk, "vote", { term: 3 });
+ * await writeChecksummed(disk, "vote", { term: 3 });
  */
-export async function replaceChecked(disk: Disk, path: string, value: unknown): Promise<void> {
+export async function writeChecksummed(disk: Disk, path: string, value: unknown): Promise<void> {
     const body = encodeValue(value);
     const bytes = Buffer.allocUnsafe(CHECKSUM_BYTES + body.length);
     bytes.writeUInt32BE(crc32(body), 0);
@@ -24,23 +24,23 @@
         await disk.replace(path, bytes);
     }
     catch (err) {
-        throw turnDiskError(err);
+        throw toStoreError(err);
     }
 }
 
 /**
- * Reads a file that `replaceChecked` wrote.
+ * Reads a file written by `writeChecksummed`.
  *
- * @param disk - Where.
- * @param path - The file.
- * @returns The value, or undefined when there is no such file.
- * @throws StoreError with `damaged` when the checksum does not fit.
+ * @param disk - Disk that contains the file.
+ * @param path - Path of the file.
+ * @returns The value, or undefined when the file does not exist.
+ * @throws StoreError with `damaged` when the checksum does not match.
  * @example
- * const vote = await readChecked(disk, "vote");
+ * const vote = await readChecksummed(disk, "vote");
  */
-export async function readChecked(disk: Disk, path: string): Promise<unknown> {
+export async function readChecksummed(disk: Disk, path: string): Promise<unknown> {
     const bytes = await disk.read(path).catch(err => {
-        throw turnDiskError(err);
+        throw toStoreError(err);
     });
     if (!bytes) return undefined;
     const body = bytes.subarray(CHECKSUM_BYTES);
--- a/src/store/index.ts
+++ b/src/store/index.ts
@@ -1,3 +1,5 @@
-/** The control log's files: one identity for each data folder, vote, snapshot, and segments of checksummed records. */
+/**
+ * Files of the control log: one identity per data folder, the vote, the snapshot, and segments of checksummed records.
+ */
 export * from "./logStore/index.js";
 export * from "./storeError/index.js";
--- a/src/store/logStore/index.ts
+++ b/src/store/logStore/index.ts
@@ -1,44 +1,44 @@
 import { ClusterId, LogIndex, StoreId, Term } from "../../ids/index.js";
 import { Disk, DiskLock, Random } from "../../ports/index.js";
-import { readChecked, replaceChecked } from "../checkedFile/index.js";
+import { readChecksummed, writeChecksummed } from "../checksummedFile/index.js";
 import { Segment, SEGMENT_FOLDER, StoredEntry } from "../segment/index.js";
-import { StoreError, turnDiskError } from "../storeError/index.js";
+import { StoreError, toStoreError } from "../storeError/index.js";
 
 export type { StoredEntry } from "../segment/index.js";
 
-/** Who this data folder is, and which cluster's history it holds. */
+/** Identity of a data folder, and the cluster whose history it contains. */
 export interface StoreIdentity {
     readonly storeId: StoreId;
-    /** Undefined until the folder has taken part in a cluster; never changes afterwards. */
+    /** Undefined until the folder has joined a cluster; never changes afterwards. */
     readonly cluster: ClusterId | undefined;
-    /** The cluster's first members, as the consensus wrote them. */
+    /** Initial configuration of the cluster, as written by the consensus code. */
     readonly founding: unknown;
 }
 
-/** The newest term seen and the vote given in it. */
+/** Newest known term and the vote given in it. */
 export interface Vote {
     readonly term: Term;
     readonly votedFor: StoreId | undefined;
 }
 
-/** What a snapshot stands for. */
+/** Position and configuration of a snapshot, without its state. */
 export interface SnapshotHeader {
     readonly index: LogIndex;
     readonly term: Term;
-    /** The members at that index, as the consensus wrote them. */
+    /** Configuration at that index, as written by the consensus code. */
     readonly configuration: unknown;
 }
 
-/** The whole state up to an index. */
+/** Snapshot with the whole state up to its index. */
 export interface StoredSnapshot extends SnapshotHeader {
     readonly state: Uint8Array;
 }
 
-/** What a store is made of. */
+/** Options of a log store. */
 export interface LogStoreOptions {
     readonly disk: Disk;
     readonly random: Random;
-    /** A new segment starts once the last one has this many bytes. */
+    /** Size at which a new segment is started. */
     readonly segmentBytes?: number;
 }
 
@@ -50,17 +50,17 @@
 const DEFAULT_SEGMENT_BYTES = 4 * 1024 * 1024;
 
 /**
- * The files of one replica. All that a method wrote is synced once its promise has settled. Log writes are made one at a
- * time by their caller; vote, snapshot and identity may be written meanwhile.
+ * Files of one replica. Everything that a method writes is synced once its promise has resolved. The caller must not
+ * run log writes concurrently; the vote, snapshot and identity may be written in parallel to them.
  *
  * @example
  * const store = await LogStore.open({ disk, random });
  */
 export class LogStore {
     private readonly segments: Segment[] = [];
-    private loaded: StoredEntry[] = [];
+    private loadedEntries: StoredEntry[] = [];
     private currentVote = NO_VOTE;
-    /** Without the state, which may be large and is rarely needed again. */
+    /** Excludes the state, which may be large and is rarely needed again. */
     private currentSnapshot: SnapshotHeader | undefined;
     private loadedState: Uint8Array | undefined;
 
@@ -72,23 +72,23 @@
     ) {}
 
     /**
-     * Locks and reads a data folder, and gives an empty one its identity.
+     * Locks and reads a data folder. Creates the identity of an empty one.
      *
      * @throws StoreError with `locked`, or with `damaged` when synced bytes have changed.
      */
     static async open(options: LogStoreOptions): Promise<LogStore> {
         const { disk, random, segmentBytes = DEFAULT_SEGMENT_BYTES } = options;
-        await disk.makeFolder(SEGMENT_FOLDER).catch(rethrow);
-        const lock = await disk.lock().catch(rethrow);
+        await disk.makeFolder(SEGMENT_FOLDER).catch(throwAsStoreError);
+        const lock = await disk.lock().catch(throwAsStoreError);
         try {
-            const identity = await loadIdentity(disk, random);
+            const identity = await loadOrCreateIdentity(disk, random);
             const store = new LogStore(disk, lock, segmentBytes, identity);
             await store.load();
             return store;
         }
         catch (err) {
             await lock.release();
-            throw turnDiskError(err);
+            throw toStoreError(err);
         }
     }
 
@@ -100,7 +100,7 @@
         return this.currentVote;
     }
 
-    /** What the newest snapshot stands for; `readSnapshot` gives its state too. */
+    /** Header of the newest snapshot; `readSnapshot` also returns its state. */
     get snapshot(): SnapshotHeader | undefined {
         return this.currentSnapshot;
     }
@@ -109,15 +109,20 @@
         return this.segments.at(-1)?.lastIndex ?? this.snapshotIndex;
     }
 
-    /** The entries found at opening; gives them once, so that they are not held twice. */
-    takeEntries(): StoredEntry[] {
-        const entries = this.loaded;
-        this.loaded = [];
+    /**
+     * Returns the entries that were loaded on opening. Returns them only once, so that they are not kept in memory
+     * twice.
+     */
+    takeLoadedEntries(): StoredEntry[] {
+        const entries = this.loadedEntries;
+        this.loadedEntries = [];
         return entries;
     }
 
-    /** The state found at opening; gives it once, so that it is not held for good. */
-    takeSnapshotState(): Uint8Array | undefined {
+    /**
+     * Returns the snapshot state that was loaded on opening. Returns it only once, so that it is not kept in memory.
+     */
+    takeLoadedSnapshotState(): Uint8Array | undefined {
         const state = this.loadedState;
         this.loadedState = undefined;
         return state;
@@ -125,57 +130,57 @@
 
     /** Reads the newest snapshot from its file. */
     async readSnapshot(): Promise<StoredSnapshot | undefined> {
-        return await readChecked(this.disk, SNAPSHOT_FILE) as StoredSnapshot | undefined;
+        return await readChecksummed(this.disk, SNAPSHOT_FILE) as StoredSnapshot | undefined;
     }
 
-    /** Ties the folder to a cluster. */
-    async saveIdentity(cluster: ClusterId, founding: unknown): Promise<void> {
-        const identity: StoreIdentity = { ...this.currentIdentity, cluster, founding };
-        await replaceChecked(this.disk, IDENTITY_FILE, identity);
+    /** Binds the folder to a cluster. */
+    async saveIdentity(cluster: ClusterId, initialConfiguration: unknown): Promise<void> {
+        const identity: StoreIdentity = { ...this.currentIdentity, cluster, founding: initialConfiguration };
+        await writeChecksummed(this.disk, IDENTITY_FILE, identity);
         this.currentIdentity = identity;
     }
 
-    /** Keeps term and vote. */
+    /** Stores term and vote. */
     async saveVote(vote: Vote): Promise<void> {
-        await replaceChecked(this.disk, VOTE_FILE, vote);
+        await writeChecksummed(this.disk, VOTE_FILE, vote);
         this.currentVote = vote;
     }
 
-    /** Replaces the snapshot. */
+    /** Stores a snapshot in place of the previous one. */
     async saveSnapshot(snapshot: StoredSnapshot): Promise<void> {
-        await replaceChecked(this.disk, SNAPSHOT_FILE, snapshot);
-        this.currentSnapshot = headerOf(snapshot);
+        await writeChecksummed(this.disk, SNAPSHOT_FILE, snapshot);
+        this.currentSnapshot = toSnapshotHeader(snapshot);
     }
 
     /**
-     * Adds entries behind the last one.
+     * Appends entries after the last one.
      *
-     * @throws StoreError with `full` when nothing of them was kept.
+     * @throws StoreError with `full` when none of them was stored.
      */
     async append(entries: readonly StoredEntry[]): Promise<void> {
         if (entries.length === 0) return;
-        await turnErrors(async () => {
+        await convertDiskErrors(async () => {
             const segment = await this.writableSegment(entries[0].index);
             await segment.append(entries);
         });
     }
 
-    /** Cuts off the entry given and all behind it. */
+    /** Removes the entry at an index and all later entries. */
     async truncateFrom(index: LogIndex): Promise<void> {
-        await turnErrors(async () => {
+        await convertDiskErrors(async () => {
             while (this.segments.length > 0 && this.segments.at(-1)!.firstIndex >= index) {
-                await this.segments.pop()!.erase();
+                await this.segments.pop()!.emptyAndRemove();
             }
             const last = this.segments.at(-1);
             if (last && last.lastIndex >= index) await last.truncateFrom(index);
         });
     }
 
-    /** Removes segments that hold only entries below the index given. */
-    async dropBefore(index: LogIndex): Promise<void> {
-        await turnErrors(async () => {
+    /** Removes segments that contain only entries before an index. */
+    async removeSegmentsBefore(index: LogIndex): Promise<void> {
+        await convertDiskErrors(async () => {
             while (this.segments.length > 1 && this.segments[0].lastIndex < index) {
-                await this.segments.shift()!.erase();
+                await this.segments.shift()!.emptyAndRemove();
             }
         });
     }
@@ -198,15 +203,15 @@
     }
 
     private async load(): Promise<void> {
-        const vote = await readChecked(this.disk, VOTE_FILE) as Vote | undefined;
+        const vote = await readChecksummed(this.disk, VOTE_FILE) as Vote | undefined;
         if (!vote) throw new StoreError("damaged", "the vote file is missing");
         this.currentVote = vote;
         const snapshot = await this.readSnapshot();
-        this.currentSnapshot = snapshot && headerOf(snapshot);
+        this.currentSnapshot = snapshot && toSnapshotHeader(snapshot);
         this.loadedState = snapshot?.state;
         await this.loadSegments();
-        if (this.isOvertaken()) {
-            this.loaded = [];
+        if (this.isSupersededBySnapshot()) {
+            this.loadedEntries = [];
             await this.truncateFrom(0 as LogIndex);
         }
         const first = this.segments[0]?.firstIndex;
@@ -221,57 +226,60 @@
             const isLast = name === names.at(-1);
             const { segment, entries } = await Segment.load(this.disk, name, isLast);
             if (entries.length === 0) {
-                await segment.erase();
+                await segment.emptyAndRemove();
                 continue;
             }
-            await this.joinSegment(segment, entries);
+            await this.addLoadedSegment(segment, entries);
         }
     }
 
-    /** A removed segment may come back after a power cut; a gap that it leaves lies below the snapshot, and is no damage. */
-    private async joinSegment(segment: Segment, entries: StoredEntry[]): Promise<void> {
+    /**
+     * Adds a loaded segment. A removed segment may reappear after a power cut; the gap that it leaves is before the
+     * snapshot's end and is not damage.
+     */
+    private async addLoadedSegment(segment: Segment, entries: StoredEntry[]): Promise<void> {
         const expected = this.segments.length === 0 ? segment.firstIndex : this.segments.at(-1)!.lastIndex + 1;
         if (segment.firstIndex !== expected) {
             if (segment.firstIndex > this.snapshotIndex + 1) {
                 throw new StoreError("damaged", `entries ${expected} to ${segment.firstIndex - 1} are missing`);
             }
             await this.truncateFrom(0 as LogIndex);
-            this.loaded = [];
+            this.loadedEntries = [];
         }
         this.segments.push(segment);
-        for (const entry of entries) this.loaded.push(entry);
+        for (const entry of entries) this.loadedEntries.push(entry);
     }
 
-    /** True when a snapshot from the leader has taken the place of the entries, and a crash came before they were removed. */
-    private isOvertaken(): boolean {
+    /** Returns whether a snapshot from the leader has replaced the entries, and a crash prevented their removal. */
+    private isSupersededBySnapshot(): boolean {
         const snapshot = this.currentSnapshot;
-        if (!snapshot || this.loaded.length === 0) return false;
+        if (!snapshot || this.loadedEntries.length === 0) return false;
         if (this.lastIndex < snapshot.index) return true;
-        const atSnapshot = this.loaded.at(snapshot.index - this.loaded[0].index);
-        return this.loaded[0].index <= snapshot.index && atSnapshot?.term !== snapshot.term;
+        const atSnapshot = this.loadedEntries.at(snapshot.index - this.loadedEntries[0].index);
+        return this.loadedEntries[0].index <= snapshot.index && atSnapshot?.term !== snapshot.term;
     }
 }
 
-function headerOf({ index, term, configuration }: StoredSnapshot): SnapshotHeader {
+function toSnapshotHeader({ index, term, configuration }: StoredSnapshot): SnapshotHeader {
     return { index, term, configuration };
 }
 
-async function loadIdentity(disk: Disk, random: Random): Promise<StoreIdentity> {
-    const found = await readChecked(disk, IDENTITY_FILE) as StoreIdentity | undefined;
+async function loadOrCreateIdentity(disk: Disk, random: Random): Promise<StoreIdentity> {
+    const found = await readChecksummed(disk, IDENTITY_FILE) as StoreIdentity | undefined;
     if (found) return found;
     if ((await disk.list(SEGMENT_FOLDER)).length > 0) throw new StoreError("damaged", "the identity file is missing");
     const storeId = Buffer.from(random.bytes(STORE_ID_BYTES)).toString("hex") as StoreId;
     const identity: StoreIdentity = { storeId, cluster: undefined, founding: undefined };
-    // The vote goes first: a folder with an identity but without a vote has lost one, and might vote twice.
-    await replaceChecked(disk, VOTE_FILE, NO_VOTE);
-    await replaceChecked(disk, IDENTITY_FILE, identity);
+    // The vote is written first: a folder with an identity but no vote has lost it and might vote twice.
+    await writeChecksummed(disk, VOTE_FILE, NO_VOTE);
+    await writeChecksummed(disk, IDENTITY_FILE, identity);
     return identity;
 }
 
-async function turnErrors(work: () => Promise<void>): Promise<void> {
-    await work().catch(rethrow);
+async function convertDiskErrors(work: () => Promise<void>): Promise<void> {
+    await work().catch(throwAsStoreError);
 }
 
-function rethrow(err: unknown): never {
-    throw turnDiskError(err);
+function throwAsStoreError(err: unknown): never {
+    throw toStoreError(err);
 }
--- a/src/store/segment/index.ts
+++ b/src/store/segment/index.ts
@@ -2,16 +2,19 @@
 import { LogIndex, Term } from "../../ids/index.js";
 import { AppendFile, Disk, DiskError } from "../../ports/index.js";
 import { decodeValue, encodeValue } from "../../wire/index.js";
-import { StoreError, turnDiskError } from "../storeError/index.js";
+import { StoreError, toStoreError } from "../storeError/index.js";
 
-/** One entry as the files keep it. The payload stays as its writer encoded it, with the fields this version does not know. */
+/**
+ * One stored log entry. The payload remains as its proposer encoded it, including fields that this version does not
+ * know.
+ */
 export interface StoredEntry {
     readonly index: LogIndex;
     readonly term: Term;
     readonly payload: Uint8Array;
 }
 
-/** What a segment file held when it was opened. */
+/** Segment and the entries that its file contained when it was opened. */
 export interface LoadedSegment {
     readonly segment: Segment;
     readonly entries: StoredEntry[];
@@ -19,24 +22,24 @@
 
 type RecordBody = readonly [index: LogIndex, term: Term, payload: Uint8Array];
 
-/** Body length, checksum of the body, checksum of these two: four bytes each. */
+/** Record header: body length, checksum of the body, checksum of these two; four bytes each. */
 const HEADER_BYTES = 12;
-const HEADER_CHECKED_BYTES = 8;
-const NAME_DIGITS = 16;
-const NAME_SUFFIX = ".seg";
+const HEADER_CHECKSUM_OFFSET = 8;
+const FILE_NAME_DIGITS = 16;
+const FILE_NAME_SUFFIX = ".seg";
 
-/** The folder of the segments. */
+/** Folder that contains the segment files. */
 export const SEGMENT_FOLDER = "log";
 
 /**
- * One file of consecutive entries.
+ * File that contains consecutive entries.
  *
  * @example
  * const segment = await Segment.create(disk, 1 as LogIndex);
  */
 export class Segment {
-    /** For each record, the offset of the byte behind it. */
-    private readonly ends: number[] = [];
+    /** End offset of each record. */
+    private readonly recordEnds: number[] = [];
 
     private constructor(
         private readonly disk: Disk,
@@ -45,30 +48,30 @@
         readonly firstIndex: LogIndex,
     ) {}
 
-    /** Starts a segment whose first entry will have the index given. */
+    /** Creates a segment whose first entry will have the given index. */
     static async create(disk: Disk, firstIndex: LogIndex): Promise<Segment> {
-        const path = `${SEGMENT_FOLDER}/${String(firstIndex).padStart(NAME_DIGITS, "0")}${NAME_SUFFIX}`;
+        const path = `${SEGMENT_FOLDER}/${String(firstIndex).padStart(FILE_NAME_DIGITS, "0")}${FILE_NAME_SUFFIX}`;
         return new Segment(disk, path, await disk.openAppend(path), firstIndex);
     }
 
     /**
      * Opens a segment and checks each record.
      *
-     * Guards against two failures that look alike. A power cut in the middle of a write leaves the first bytes of a record
-     * that was never acknowledged: the file ends inside it, and it is cut off. A disk that changes a synced bit, in the
-     * last record too, leaves a record of full length that does not fit its checksum: cutting that off would lose an
-     * acknowledged entry, so opening fails. The header has a checksum of its own, so that a changed length is not taken for a
-     * short file.
+     * Distinguishes two failures that look alike. A power cut during a write leaves the first bytes of a record that
+     * was never acknowledged: the file ends inside it, and it is removed. A disk that changes a bit of a synced record,
+     * possibly the last one, leaves a record of full length that does not match its checksum: removing it would lose an
+     * acknowledged entry, so opening fails. The header has its own checksum, so that a changed length is not mistaken
+     * for a short file.
      *
-     * @param disk - Where.
-     * @param name - The file's name in the folder.
-     * @param mayBeTorn - True for the last segment only.
+     * @param disk - Disk that contains the file.
+     * @param name - Name of the file in the segment folder.
+     * @param mayBeTorn - True only for the last segment.
      * @throws StoreError with `damaged`.
      */
     static async load(disk: Disk, name: string, mayBeTorn: boolean): Promise<LoadedSegment> {
         const path = `${SEGMENT_FOLDER}/${name}`;
         const bytes = Buffer.from(await disk.read(path) ?? []);
-        const firstIndex = Number(name.slice(0, -NAME_SUFFIX.length)) as LogIndex;
+        const firstIndex = Number(name.slice(0, -FILE_NAME_SUFFIX.length)) as LogIndex;
         const segment = new Segment(disk, path, await disk.openAppend(path), firstIndex);
         const entries: StoredEntry[] = [];
         let offset = 0;
@@ -80,7 +83,7 @@
             }
             entries.push(record.entry);
             offset = record.end;
-            segment.ends.push(offset);
+            segment.recordEnds.push(offset);
         }
         if (offset < bytes.length) {
             if (!mayBeTorn) throw new StoreError("damaged", `${path} ends inside a record and is not the last segment`);
@@ -90,17 +93,17 @@
     }
 
     get lastIndex(): LogIndex {
-        return this.firstIndex + this.ends.length - 1 as LogIndex;
+        return this.firstIndex + this.recordEnds.length - 1 as LogIndex;
     }
 
     get size(): number {
-        return this.ends.at(-1) ?? 0;
+        return this.recordEnds.at(-1) ?? 0;
     }
 
     /**
-     * Adds entries and syncs them.
+     * Appends entries and syncs them.
      *
-     * @throws StoreError with `full` when nothing of them was kept, with `io` when that is unknown.
+     * @throws StoreError with `full` when none of them was stored, with `io` when that is unknown.
      */
     async append(entries: readonly StoredEntry[]): Promise<void> {
         const before = this.size;
@@ -110,27 +113,27 @@
             await this.file.sync();
         }
         catch (err) {
-            throw await this.undoAppend(before, err);
+            throw await this.revertAppend(before, err);
         }
         let end = before;
         for (const record of records) {
             end += record.length;
-            this.ends.push(end);
+            this.recordEnds.push(end);
         }
     }
 
-    /** Cuts off the entry given and all behind it. */
+    /** Removes the entry at an index and all later entries. */
     async truncateFrom(index: LogIndex): Promise<void> {
         const kept = Math.max(0, index - this.firstIndex);
-        this.ends.length = Math.min(kept, this.ends.length);
+        this.recordEnds.length = Math.min(kept, this.recordEnds.length);
         await this.file.truncate(this.size);
     }
 
     /**
-     * Removes the file. It is emptied first: a folder does not sync a removal, and after a power cut a file that came back
-     * with its entries would stand behind newer ones as if it belonged there.
+     * Removes the file. It is emptied first because the removal is not synced: if the file reappeared with its entries
+     * after a power cut, they would be read as the continuation of newer ones.
      */
-    async erase(): Promise<void> {
+    async emptyAndRemove(): Promise<void> {
         await this.file.truncate(0);
         await this.close();
         await this.disk.remove(this.path);
@@ -140,12 +143,12 @@
         await this.file.close();
     }
 
-    /** A full disk may have taken a part of the write. Without cutting that off, the next record would stand behind a torn one. */
-    private async undoAppend(size: number, cause: unknown): Promise<StoreError> {
-        if (!(cause instanceof DiskError) || cause.reason !== "full") return turnDiskError(cause);
+    /** Removes a partial write after the disk was full. Otherwise the next record would follow a torn one. */
+    private async revertAppend(size: number, cause: unknown): Promise<StoreError> {
+        if (!(cause instanceof DiskError) || cause.reason !== "full") return toStoreError(cause);
         try {
             await this.file.truncate(size);
-            return turnDiskError(cause);
+            return toStoreError(cause);
         }
         catch (err) {
             return new StoreError("io", `after a full disk: ${String(err)}`);
@@ -158,17 +161,17 @@
     const record = Buffer.allocUnsafe(HEADER_BYTES + body.length);
     record.writeUInt32BE(body.length, 0);
     record.writeUInt32BE(crc32(body), 4);
-    record.writeUInt32BE(crc32(record.subarray(0, HEADER_CHECKED_BYTES)), HEADER_CHECKED_BYTES);
+    record.writeUInt32BE(crc32(record.subarray(0, HEADER_CHECKSUM_OFFSET)), HEADER_CHECKSUM_OFFSET);
     record.set(body, HEADER_BYTES);
     return record;
 }
 
-/** The record at an offset, or undefined when the bytes end inside it. */
+/** Returns the record at an offset, or undefined when the bytes end inside it. */
 function readRecord(bytes: Buffer, offset: number, path: string): { entry: StoredEntry; end: number; } | undefined {
     if (bytes.length - offset < HEADER_BYTES) return undefined;
     const header = bytes.subarray(offset, offset + HEADER_BYTES);
-    if (crc32(header.subarray(0, HEADER_CHECKED_BYTES)) !== header.readUInt32BE(HEADER_CHECKED_BYTES)) {
-        // Some file systems show blocks that were never written as zeros.
+    if (crc32(header.subarray(0, HEADER_CHECKSUM_OFFSET)) !== header.readUInt32BE(HEADER_CHECKSUM_OFFSET)) {
+        // Some file systems return zeros for blocks that were never written.
         if (bytes.subarray(offset).every(byte => byte === 0)) return undefined;
         throw new StoreError("damaged", `${path} has a changed record header at byte ${offset}`);
     }
