--- a/src/wire/frame/index.ts
+++ b/src/wire/frame/index.ts
@@ -2,43 +2,43 @@
 import { Connection } from "../../ports/index.js";
 
 const LENGTH_BYTES = 4;
-/** The first byte of a msgpack array of up to fifteen items, less its length. */
-const MSGPACK_SHORT_ARRAY = 0x90;
-/** A larger frame is taken for a damaged stream. */
+/** First byte of a msgpack array of up to fifteen items, without its length. */
+const MSGPACK_FIXARRAY = 0x90;
+/** Maximum frame size. A larger frame indicates a corrupt stream. */
 export const MAX_FRAME_BYTES = 64 * 1024 * 1024;
 
-// Plain maps rather than msgpackr's record extension: an older reader then keeps fields that it does not know.
+// Plain maps instead of msgpackr's record extension, so that older readers preserve fields that they do not know.
 const packr = new Packr({ useRecords: false, encodeUndefinedAsNil: false });
 
-/** Turns a value into msgpack bytes. */
+/** Encodes a value as msgpack. */
 export function encodeValue(value: unknown): Uint8Array {
     return packr.pack(value);
 }
 
 /**
- * Reads msgpack bytes.
+ * Decodes msgpack bytes.
  *
- * @throws Error when the bytes are not one whole msgpack value.
+ * @throws Error when the bytes are not one complete msgpack value.
  */
 export function decodeValue(bytes: Uint8Array): unknown {
     return packr.unpack(bytes as Buffer);
 }
 
-/** A body that goes to several peers: it is encoded once. */
+/** A message body that is sent to several peers and encoded only once. */
 export class EncodedBody {
-    /** The body as msgpack. */
+    /** Body encoded as msgpack. */
     readonly bytes: Buffer;
 
-    /** @param value - A value msgpack can carry. */
+    /** @param value - A value that msgpack can encode. */
     constructor(value: unknown) {
         this.bytes = packr.pack(value);
     }
 }
 
 /**
- * Puts a list of values into a frame: four bytes of length, big endian, then a msgpack array.
+ * Encodes a list of values as a frame: four bytes of length, big endian, then a msgpack array.
  *
- * @param values - At most fifteen; an `EncodedBody` among them is copied as it is.
+ * @param values - At most fifteen values. The bytes of an `EncodedBody` among them are copied unchanged.
  * @example
  * connection.send(encodeFrame(["ping"]));
  */
@@ -46,44 +46,44 @@
     const parts = values.some(value => value instanceof EncodedBody) ? packParts(values) : [packr.pack(values)];
     const length = parts.reduce((sum, part) => sum + part.length, 0);
     const frame = Buffer.allocUnsafe(LENGTH_BYTES + length);
-    let at = frame.writeUInt32BE(length, 0);
-    for (const part of parts) at += part.copy(frame, at);
+    let offset = frame.writeUInt32BE(length, 0);
+    for (const part of parts) offset += part.copy(frame, offset);
     return frame;
 }
 
 function packParts(values: readonly unknown[]): Buffer[] {
-    const head = Buffer.from([MSGPACK_SHORT_ARRAY | values.length]);
+    const head = Buffer.from([MSGPACK_FIXARRAY | values.length]);
     return [head, ...values.map(value => value instanceof EncodedBody ? value.bytes : packr.pack(value))];
 }
 
 /**
- * Cuts a connection's bytes into frames.
+ * Splits the bytes of a connection into frames.
  *
  * @example
  * const frame = await new FrameReader(connection).next();
  */
 export class FrameReader {
     private buffered: Buffer = Buffer.alloc(0);
-    private taken = 0;
+    private lastBytes = 0;
 
-    /** @param connection - Read by this reader alone. */
+    /** @param connection - Connection that only this reader reads. */
     constructor(private readonly connection: Connection) {}
 
-    /** The size of the last frame, in bytes. */
+    /** Size of the last frame, in bytes. */
     get lastFrameBytes(): number {
-        return this.taken;
+        return this.lastBytes;
     }
 
     /**
-     * The next frame's value, or undefined at the end of the connection.
+     * Returns the value of the next frame, or undefined at the end of the connection.
      *
-     * @throws Error when the bytes are not a frame.
+     * @throws Error when the bytes are not a valid frame.
      */
     async next(): Promise<unknown> {
         for (;;) {
-            const frame = this.takeFrame();
+            const frame = this.extractFrame();
             if (frame) {
-                this.taken = LENGTH_BYTES + frame.length;
+                this.lastBytes = LENGTH_BYTES + frame.length;
                 return packr.unpack(frame);
             }
             const chunk = await this.connection.receive();
@@ -92,10 +92,10 @@
         }
     }
 
-    private takeFrame(): Buffer | undefined {
+    private extractFrame(): Buffer | undefined {
         if (this.buffered.length < LENGTH_BYTES) return undefined;
         const length = this.buffered.readUInt32BE(0);
-        if (length > MAX_FRAME_BYTES) throw new Error(`a frame of ${length} bytes`);
+        if (length > MAX_FRAME_BYTES) throw new Error(`frame of ${length} bytes exceeds the limit`);
         const end = LENGTH_BYTES + length;
         if (this.buffered.length < end) return undefined;
         const frame = this.buffered.subarray(LENGTH_BYTES, end);
--- a/src/wire/index.ts
+++ b/src/wire/index.ts
@@ -1,4 +1,6 @@
-/** Calls and notices between the system's own processes: length-framed msgpack over one connection for each pair. */
+/**
+ * Calls and one-way notices between the system's own processes: length-prefixed msgpack over one connection per pair.
+ */
 export * from "./frame/index.js";
 export * from "./peerChannel/index.js";
 export * from "./peerLink/index.js";
--- a/src/wire/peerLink/index.ts
+++ b/src/wire/peerLink/index.ts
@@ -3,31 +3,32 @@
 import { PeerChannel, PeerError, PeerIdentity, PeerTiming } from "../peerChannel/index.js";
 import { PeerRouter } from "../peerRouter/index.js";
 
-/** What a link to a peer is made of. */
+/** Options of a link to a peer. */
 export interface PeerLinkOptions {
     readonly network: Network;
     readonly clock: Clock;
     readonly random: Random;
     readonly address: Address;
     readonly self: PeerIdentity;
-    /** What this end answers when the peer calls back. */
+    /** Methods that this end provides to the peer. */
     readonly router: PeerRouter;
     readonly timing: PeerTiming;
-    /** Called each time a channel has opened, for example to subscribe again. */
+    /** Called each time a channel has opened, for example to renew a subscription. */
     readonly onOpen?: (channel: PeerChannel) => void;
 }
 
 /**
- * How long a connection may take to open, in milliseconds: less than the second after which a lost opening packet is sent again. A host
- * that is just starting answers nothing, and waiting for that repeat would cost most of a second after it is back.
+ * Timeout for opening a connection, in milliseconds. Less than the second after which a lost opening packet is
+ * retransmitted: a host that is still starting replies to nothing, and waiting for the retransmission would cost most
+ * of a second after it is back.
  */
-const CONNECT_MS = 300;
-const FIRST_RETRY_MS = 50;
-const LAST_RETRY_MS = 1_000;
+const CONNECT_TIMEOUT_MS = 300;
+const MIN_RETRY_MS = 50;
+const MAX_RETRY_MS = 1_000;
 
 /**
- * Keeps a channel open to one peer: one task that connects, serves the channel to its end and connects again, with
- * growing and scattered pauses.
+ * Keeps a channel to one peer open. One task connects, serves the channel until it ends and reconnects with growing,
+ * randomized delays.
  *
  * @example
  * const link = new PeerLink(options);
@@ -35,8 +36,8 @@
  */
 export class PeerLink {
     private channel: PeerChannel | undefined;
-    /** Settles when the connection that is being made has opened or failed; undefined while none is. */
-    private opening: Promise<boolean> | undefined;
+    /** Resolves when the connection attempt in progress has succeeded or failed; undefined when none is in progress. */
+    private pendingOpen: Promise<boolean> | undefined;
 
     constructor(private readonly options: PeerLinkOptions) {}
 
@@ -44,7 +45,7 @@
         return this.channel?.isOpen ?? false;
     }
 
-    /** Who answers at the address; undefined while no channel is open. */
+    /** Identity of the peer; undefined while no channel is open. */
     get peer(): PeerIdentity | undefined {
         return this.channel?.peer;
     }
@@ -54,30 +55,30 @@
         const { clock, random } = this.options;
         const close = (): void => this.channel?.reset();
         signal.addEventListener("abort", close);
-        let retryMs = FIRST_RETRY_MS;
+        let retryMs = MIN_RETRY_MS;
         while (!signal.aborted) {
             const opened = await this.serveOneChannel(signal);
-            retryMs = opened ? FIRST_RETRY_MS : Math.min(retryMs * 2, LAST_RETRY_MS);
+            retryMs = opened ? MIN_RETRY_MS : Math.min(retryMs * 2, MAX_RETRY_MS);
             await clock.sleep(random.between(retryMs / 2, retryMs), signal);
         }
         signal.removeEventListener("abort", close);
     }
 
     /**
-     * Waits for a connection that is just being made.
+     * Waits for the connection attempt in progress, if any.
      *
-     * @param limitMs - How long to wait, in milliseconds.
-     * @returns Whether a channel is open; false at once between two tries.
+     * @param timeoutMs - Maximum waiting time, in milliseconds.
+     * @returns Whether a channel is open. Returns false immediately between two attempts.
      */
-    async awaitOpen(limitMs: number): Promise<boolean> {
-        if (this.isOpen || !this.opening) return this.isOpen;
-        const limit = new AbortController();
-        await Promise.race([this.opening, this.options.clock.sleep(limitMs, limit.signal)]);
-        limit.abort();
+    async awaitOpen(timeoutMs: number): Promise<boolean> {
+        if (this.isOpen || !this.pendingOpen) return this.isOpen;
+        const timeout = new AbortController();
+        await Promise.race([this.pendingOpen, this.options.clock.sleep(timeoutMs, timeout.signal)]);
+        timeout.abort();
         return this.isOpen;
     }
 
-    /** Asks the peer; "unreachable" at once while no channel is open. */
+    /** Calls a method of the peer. Fails immediately with "unreachable" while no channel is open. */
     call(method: string, body: unknown, timeoutMs: number): Promise<Either<PeerError, unknown>> {
         if (!this.channel) {
             const detail = `${method} to ${formatAddress(this.options.address)}`;
@@ -86,20 +87,20 @@
         return this.channel.call(method, body, timeoutMs);
     }
 
-    /** Tells the peer something; lost while no channel is open. */
+    /** Sends a notice to the peer. It is lost while no channel is open. */
     notify(method: string, body: unknown): void {
         this.channel?.notify(method, body);
     }
 
-    /** Ends the open channel, if any; the task opens the next. */
+    /** Closes the open channel, if any. The task then opens a new one. */
     reset(): void {
         this.channel?.reset();
     }
 
     private async serveOneChannel(signal: AbortSignal): Promise<boolean> {
-        this.opening = this.openChannel(signal);
-        const opened = await this.opening;
-        this.opening = undefined;
+        this.pendingOpen = this.openChannel(signal);
+        const opened = await this.pendingOpen;
+        this.pendingOpen = undefined;
         await this.channel?.closed;
         this.channel = undefined;
         return opened;
@@ -107,7 +108,7 @@
 
     private async openChannel(signal: AbortSignal): Promise<boolean> {
         const { network, address, clock, self, router, timing, onOpen } = this.options;
-        const connected = await network.connect(address, Math.min(CONNECT_MS, timing.silenceMs));
+        const connected = await network.connect(address, Math.min(CONNECT_TIMEOUT_MS, timing.silenceMs));
         const connection = connected.orDefault(undefined as never);
         if (!connection) return false;
         const channel = new PeerChannel({ connection, clock, self, router, timing });
--- a/src/wire/peerLink/test.ts
+++ b/src/wire/peerLink/test.ts
@@ -42,13 +42,13 @@
 
 describe("PeerLink", () => {
     describe("call", () => {
-        it("gives the answer's body", async () => {
+        it("returns the body of the reply", async () => {
             const { clock, link } = await startPair();
             const answer = await clock.runUntil(link.call("echo", { text: "hi" }, 1_000), 1_000);
             assert.deepEqual(answer.extract(), { text: "hi" });
         });
 
-        it("gives the peer's error", async () => {
+        it("returns the peer's error", async () => {
             const { clock, link } = await startPair();
             const answer = await clock.runUntil(link.call("fail", undefined, 1_000), 1_000);
             assert.match(String(answer.extract()), /no such thing/);
@@ -68,7 +68,7 @@
             });
         }
 
-        it("waits for a connection that is just being made, as on a link's first use", async () => {
+        it("waits for a connection attempt in progress, as on a link's first use", async () => {
             const { clock, fabric } = await startPair();
             const link = makeLink(clock, fabric);
             void link.run(new AbortController().signal);
@@ -76,7 +76,7 @@
             assert.equal(await clock.runUntil(link.awaitOpen(120), 1_000), true);
         });
 
-        it("gives up at its limit where nobody answers", async () => {
+        it("returns false at its timeout when nobody answers", async () => {
             const { clock, fabric } = await startPair();
             fabric.isolate(SERVER, [CLIENT], true);
             const link = makeLink(clock, fabric);
@@ -88,10 +88,10 @@
     });
 
     describe("a connection that has gone silent", () => {
-        it("is replaced within the silence bound", async () => {
-            // A caller sees requests hang although both hosts are up and new connections between them work.
-            // A middlebox forgot the open connection: no byte passes, and neither end is told.
-            // Cause: without heartbeats of its own, an end that waits for an answer waits for good.
+        it("is replaced within the silence timeout", async () => {
+            // Prevents calls from hanging although both hosts are up and new connections between them work. A middlebox
+            // dropped the open connection: no bytes pass, and neither end is notified. Without heartbeats, an end that
+            // waits for a reply would wait forever.
             const { clock, fabric, link } = await startPair();
             fabric.forget(SERVER, CLIENT);
             const lost = await clock.runUntil(link.call("echo", 1, 10_000), 10_000);
@@ -104,9 +104,9 @@
 
     describe("a peer without power", () => {
         it("is reached soon after it is back", async () => {
-            // After a loss of power callers wait most of a second longer than the control processes need to start.
-            // The first packet of a connection meets a host that is not there yet, and is sent again after a second.
-            // Cause: the link waits for that repeat instead of opening another connection.
+            // Prevents callers from waiting most of a second longer after a power loss than the control processes need
+            // to start. The first packet of a connection reaches a host that is not up yet and is retransmitted after a
+            // second. The link must open another connection instead of waiting for that.
             const { clock, fabric, link } = await startPair();
             fabric.isolate(SERVER, [CLIENT], true);
             link.reset();
--- a/src/wire/peerRouter/index.ts
+++ b/src/wire/peerRouter/index.ts
@@ -1,11 +1,11 @@
 import type { PeerChannel } from "../peerChannel/index.js";
 import { PeerTraffic } from "../peerTraffic/index.js";
 
-/** Answers one kind of call. What it throws reaches the caller as a `PeerError` of reason "failed". */
+/** Handler of one method. An error that it throws reaches the caller as a `PeerError` with reason "failed". */
 export type PeerHandler = (body: unknown, channel: PeerChannel) => Promise<unknown> | unknown;
 
 /**
- * The methods that a process answers to its peers, and the traffic of all its channels.
+ * Methods that a process provides to its peers, and the traffic counters of all its channels.
  *
  * @example
  * router.add("usage.batch", body => holdBatch(body));
@@ -15,15 +15,16 @@
     private readonly handlers = new Map<string, PeerHandler>();
 
     /**
-     * Adds a method.
+     * Registers a method.
      *
-     * @throws Error when the method is there already.
+     * @throws Error when the method is already registered.
      */
     add(method: string, handler: PeerHandler): void {
-        if (this.handlers.has(method)) throw new Error(`the method ${method} stands twice`);
+        if (this.handlers.has(method)) throw new Error(`method ${method} is already registered`);
         this.handlers.set(method, handler);
     }
 
+    /** Returns the handler of a method, if one is registered. */
     find(method: string): PeerHandler | undefined {
         return this.handlers.get(method);
     }
--- a/src/wire/peerServer/index.ts
+++ b/src/wire/peerServer/index.ts
@@ -2,7 +2,7 @@
 import { PeerChannel, PeerIdentity, PeerTiming } from "../peerChannel/index.js";
 import { PeerRouter } from "../peerRouter/index.js";
 
-/** What a server of peers is made of. */
+/** Options of a peer server. */
 export interface PeerServerOptions {
     readonly network: Network;
     readonly clock: Clock;
@@ -13,11 +13,11 @@
 }
 
 /**
- * Accepts channels from peers: one task each.
+ * Accepts channels from peers and runs each in its own task.
  *
- * @param options - Where to listen and what to answer.
- * @returns The listener; closing it resets all its channels.
- * @throws NetworkError when the address is taken.
+ * @param options - Address to listen on, and the methods to provide.
+ * @returns The listener. Closing it resets all its channels.
+ * @throws NetworkError when the address is in use.
  * @example
  * const listener = await servePeers(options);
  */
--- a/src/wire/peerTraffic/index.ts
+++ b/src/wire/peerTraffic/index.ts
@@ -1,60 +1,65 @@
 import { Metrics } from "../../metrics/index.js";
 
-/** Which way a message went. */
-export type TrafficWay = "sent" | "received";
+/** Direction of a message. */
+export type TrafficDirection = "sent" | "received";
 
-/** The messages of one method, one way, since the process started. */
+/** Messages of one method in one direction since the process started. */
 export interface TrafficRow {
     readonly method: string;
-    readonly way: TrafficWay;
+    readonly way: TrafficDirection;
     readonly messages: number;
-    /** With the frames around them. */
+    /** Includes the framing overhead. */
     readonly bytes: number;
 }
 
-interface Sums {
+interface TrafficTotals {
     messages: number;
     bytes: number;
 }
 
 /**
- * Counts what a process and its peers say to each other, by method: what of a fleet's traffic grows with its size.
+ * Counts messages between a process and its peers by method, which shows what traffic grows with the size of the fleet.
  *
  * @example
- * router.traffic.note("sent", "dispatch.submit", 412);
+ * router.traffic.record("sent", "dispatch.submit", 412);
  * router.traffic.report(metrics);
  */
 export class PeerTraffic {
-    private readonly sums: Record<TrafficWay, Map<string, Sums>> = { sent: new Map(), received: new Map() };
-    private readonly reported = new Map<string, Sums>();
+    private readonly totals: Record<TrafficDirection, Map<string, TrafficTotals>> = {
+        sent: new Map(),
+        received: new Map(),
+    };
+    private readonly reportedTotals = new Map<string, TrafficTotals>();
 
     /** Counts a message. */
-    note(way: TrafficWay, method: string, bytes: number): void {
-        const sums = this.sums[way].get(method);
-        if (!sums) {
-            this.sums[way].set(method, { messages: 1, bytes });
+    record(direction: TrafficDirection, method: string, bytes: number): void {
+        const totals = this.totals[direction].get(method);
+        if (!totals) {
+            this.totals[direction].set(method, { messages: 1, bytes });
             return;
         }
-        sums.messages++;
-        sums.bytes += bytes;
+        totals.messages++;
+        totals.bytes += bytes;
     }
 
-    /** The sums, those with the most bytes first. */
+    /** Returns the totals, sorted by bytes in descending order. */
     list(): TrafficRow[] {
-        const ways: readonly TrafficWay[] = ["sent", "received"];
-        const rows = ways.flatMap(way => [...this.sums[way]].map(([method, sums]) => ({ method, way, ...sums })));
+        const directions: readonly TrafficDirection[] = ["sent", "received"];
+        const rows = directions.flatMap(way =>
+            [...this.totals[way]].map(([method, totals]) => ({ method, way, ...totals }))
+        );
         return rows.sort((a, b) => b.bytes - a.bytes);
     }
 
-    /** Adds what has come since the last report to the counters `peer_messages` and `peer_bytes`. */
+    /** Adds the messages since the last report to the counters `peer_messages` and `peer_bytes`. */
     report(metrics: Metrics): void {
         for (const { method, way, messages, bytes } of this.list()) {
             const name = `${way} ${method}`;
-            const before = this.reported.get(name) ?? { messages: 0, bytes: 0 };
-            if (messages === before.messages) continue;
-            this.reported.set(name, { messages, bytes });
-            metrics.count("peer_messages", messages - before.messages, { method, way });
-            metrics.count("peer_bytes", bytes - before.bytes, { method, way });
+            const reported = this.reportedTotals.get(name) ?? { messages: 0, bytes: 0 };
+            if (messages === reported.messages) continue;
+            this.reportedTotals.set(name, { messages, bytes });
+            metrics.count("peer_messages", messages - reported.messages, { method, way });
+            metrics.count("peer_bytes", bytes - reported.bytes, { method, way });
         }
     }
 }
--- a/src/wire/peerTraffic/test.ts
+++ b/src/wire/peerTraffic/test.ts
@@ -3,7 +3,7 @@
 import { Metrics, MetricTags } from "../../metrics/index.js";
 import { PeerTraffic } from "./index.js";
 
-class RecordedMetrics extends Metrics {
+class RecordingMetrics extends Metrics {
     readonly counted: string[] = [];
 
     count(name: string, by: number, tags?: MetricTags): void {
@@ -16,11 +16,11 @@
 }
 
 describe("PeerTraffic", () => {
-    it("sums messages and bytes by method and way, the most bytes first", () => {
+    it("sums messages and bytes by method and direction, the most bytes first", () => {
         const traffic = new PeerTraffic();
-        traffic.note("sent", "view.pull", 100);
-        traffic.note("sent", "view.pull", 120);
-        traffic.note("received", "discovery.news", 500);
+        traffic.record("sent", "view.pull", 100);
+        traffic.record("sent", "view.pull", 120);
+        traffic.record("received", "discovery.news", 500);
         assert.deepEqual(traffic.list(), [
             { method: "discovery.news", way: "received", messages: 1, bytes: 500 },
             { method: "view.pull", way: "sent", messages: 2, bytes: 220 },
@@ -29,11 +29,11 @@
 
     it("reports each message once", () => {
         const traffic = new PeerTraffic();
-        const metrics = new RecordedMetrics();
-        traffic.note("sent", "view.pull", 100);
+        const metrics = new RecordingMetrics();
+        traffic.record("sent", "view.pull", 100);
         traffic.report(metrics);
         traffic.report(metrics);
-        traffic.note("sent", "view.pull", 50);
+        traffic.record("sent", "view.pull", 50);
         traffic.report(metrics);
         assert.deepEqual(metrics.counted, [
             "peer_messages sent view.pull 1",
--- a/src/wire/trafficReporter/index.ts
+++ b/src/wire/trafficReporter/index.ts
@@ -3,42 +3,42 @@
 import { Clock } from "../../ports/index.js";
 import { PeerTraffic } from "../peerTraffic/index.js";
 
-/** How often the counters are brought up to date, in milliseconds. */
-const REPORT_EVERY_MS = 5_000;
-/** How many reports make one line in the log. */
-const REPORTS_PER_LINE = 4;
-/** The methods with the most bytes that a line names. */
-const MOST_ROWS = 8;
+/** Interval between updates of the counters, in milliseconds. */
+const REPORT_INTERVAL_MS = 5_000;
+/** Number of counter updates per log line. */
+const REPORTS_PER_LOG_LINE = 4;
+/** Maximum number of entries in a log line, those with the most bytes first. */
+const MAX_LOGGED_ROWS = 8;
 
-/** What a reporter is made of. */
+/** Options of a traffic reporter. */
 export interface TrafficReporterOptions {
     readonly clock: Clock;
     readonly logger: Logger;
     readonly traffic: PeerTraffic;
-    /** Undefined: the log alone gets the figures. */
+    /** Undefined: the traffic is only logged. */
     readonly metrics?: Metrics;
 }
 
 /**
- * Brings what a process and its peers say to each other to the metrics, and now and then to the log.
+ * Periodically adds the traffic between a process and its peers to the metrics, and less often logs it.
  *
- * @param options - What to report, and where.
- * @param signal - Ends it when aborted.
+ * @param options - Traffic to report, and where to report it.
+ * @param signal - Stops the reporter when aborted.
  * @example
  * lifecycle.run(signal => reportTraffic({ clock, logger, metrics, traffic: router.traffic }, signal), onError);
  */
 export async function reportTraffic(options: TrafficReporterOptions, signal: AbortSignal): Promise<void> {
     const { clock, logger, traffic, metrics } = options;
     for (let reports = 1; !signal.aborted; reports++) {
-        await clock.sleepToTick(REPORT_EVERY_MS, signal);
+        await clock.sleepToTick(REPORT_INTERVAL_MS, signal);
         if (metrics) traffic.report(metrics);
-        if (reports % REPORTS_PER_LINE === 0) logger.info("peer-traffic", describe(traffic));
+        if (reports % REPORTS_PER_LOG_LINE === 0) logger.info("peer-traffic", formatTraffic(traffic));
     }
 }
 
-/** By way and method: messages and bytes since the start. */
-function describe(traffic: PeerTraffic): Record<string, string> {
-    const rows = traffic.list().slice(0, MOST_ROWS);
+/** Formats the messages and bytes since the start, by direction and method. */
+function formatTraffic(traffic: PeerTraffic): Record<string, string> {
+    const rows = traffic.list().slice(0, MAX_LOGGED_ROWS);
     return Object.fromEntries(
         rows.map(({ way, method, messages, bytes }) => [`${way} ${method}`, `${messages} messages, ${bytes} bytes`]),
     );
