--- a/src/consensus/entryLog/index.ts
+++ b/src/consensus/entryLog/index.ts
@@ -4,6 +4,7 @@
 
 const MAX_FLUSH_BYTES = 8 * 1024 * 1024;
 
+/** A caller of `whenDurable` that waits for the sync of an entry. */
 interface DurableWaiter {
     readonly index: LogIndex;
     readonly resolve: () => void;
@@ -35,6 +36,7 @@
     /** Index and term of the entry before the first one in `entries`. */
     private baseIndex: LogIndex;
     private baseTerm: Term;
+    /** Last index known to be synced. */
     private syncedIndex: LogIndex;
     /** Last index in the files. Changed only by the writer's jobs. */
     private writtenIndex: LogIndex;
--- a/src/consensus/entryPayload/index.ts
+++ b/src/consensus/entryPayload/index.ts
@@ -14,8 +14,11 @@
  * preserves fields that it does not know.
  */
 export type EntryPayload =
+    /** A command for the state machine. `at` is the proposer's wall-clock time, in milliseconds since the epoch. */
     | { readonly kind: "command"; readonly command: unknown; readonly at: number; }
+    /** A new configuration of the cluster. */
     | { readonly kind: "members"; readonly configuration: Configuration; }
+    /** First entry of a leader's term. */
     | { readonly kind: "term-start"; };
 
 /** Thrown for an entry that requires a newer version of the program. */
--- a/src/consensus/memberHistory/index.ts
+++ b/src/consensus/memberHistory/index.ts
@@ -1,6 +1,7 @@
 import { LogIndex } from "../../ids/index.js";
 import { Configuration } from "../member/index.js";
 
+/** A configuration and the index of the entry that contains it. */
 interface IndexedConfiguration {
     readonly index: LogIndex;
     readonly configuration: Configuration;
--- a/src/consensus/message/index.ts
+++ b/src/consensus/message/index.ts
@@ -28,7 +28,9 @@
 /** Requests a vote. With `pre`, asks only whether a vote would be granted, which changes no state. */
 export interface VoteRequest extends MemberMessage {
     readonly pre: boolean;
+    /** Index of the last entry in the candidate's log. */
     readonly lastIndex: LogIndex;
+    /** Term of that entry. */
     readonly lastTerm: Term;
 }
 
@@ -67,6 +69,7 @@
 
 /** Renews the lease. Answered without waiting for the disk. */
 export interface HeartbeatRequest extends LeaderMessage {
+    /** The leader's commit index. */
     readonly commit: LogIndex;
 }
 
@@ -78,8 +81,11 @@
 
 /** Entries to append to a follower's log. */
 export interface AppendRequest extends LeaderMessage {
+    /** Index of the entry before the sent ones. */
     readonly prevIndex: LogIndex;
+    /** Term of that entry. A follower whose entry has another term rejects the request. */
     readonly prevTerm: Term;
+    /** The leader's commit index. */
     readonly commit: LogIndex;
     /** Entries after `prevIndex`, in order. */
     readonly entries: readonly WireEntry[];
@@ -98,10 +104,14 @@
 
 /** One chunk of an encoded snapshot. */
 export interface SnapshotRequest extends LeaderMessage {
+    /** Index of the last entry that the snapshot covers. */
     readonly index: LogIndex;
+    /** Term of that entry. */
     readonly indexTerm: Term;
     readonly configuration: Configuration;
+    /** Position of the chunk, in bytes. */
     readonly offset: number;
+    /** Size of the whole encoded snapshot, in bytes. */
     readonly size: number;
     readonly bytes: Uint8Array;
 }
@@ -128,6 +138,7 @@
     readonly storeId: StoreId;
     /** Undefined while the host's data folder belongs to no cluster. */
     readonly cluster?: ClusterId;
+    /** Initial configuration of that cluster. */
     readonly founding?: Configuration;
 }
 
@@ -141,6 +152,10 @@
 
 /** Result of a join request. */
 export interface JoinReply {
+    /**
+     * `member`: the sender already is one. `added`: it was added as a learner. `busy`: it can't be added at the moment.
+     * `retired`: its data folder was removed permanently.
+     */
     readonly result: "member" | "added" | "busy" | "not-leader" | "retired";
     /** Address of the leader to ask instead. */
     readonly leader?: Address;
--- a/src/consensus/replica/index.ts
+++ b/src/consensus/replica/index.ts
@@ -181,13 +181,13 @@
             && isVoter(this.configuration, this.storeId);
     }
 
-    /** Returns whether no leader relies on this replica's promise. */
+    /** Returns whether this replica may vote, because no leader relies on its promise. */
     mayVote(): boolean {
         return !this.hasLeadership && this.clock.monotonic() >= this.promisedUntil;
     }
 
     /**
-     * Returns whether no leader other than the candidate relies on this replica's promise.
+     * Returns whether this replica may vote for a candidate, because no other leader relies on its promise.
      *
      * Prevents seconds without a leader: a newly elected leader may be unseated by a candidate that started before it
      * received the leader's messages. If a promise blocked all candidates, every replica that made one to the new
--- a/src/consensus/snapshotter/index.ts
+++ b/src/consensus/snapshotter/index.ts
@@ -4,6 +4,7 @@
 import { SnapshotReply, SnapshotRequest } from "../message/index.js";
 import { Replica } from "../replica/index.js";
 
+/** Snapshot from the leader of which some chunks have been received. */
 interface IncomingSnapshot {
     readonly index: LogIndex;
     readonly from: string;
