--- a/src/consensus/replicatedLog/index.ts
+++ b/src/consensus/replicatedLog/index.ts
@@ -114,14 +114,14 @@
         this.restartPause = new RestartPause(this.replica, this.links);
         this.snapshotter = new Snapshotter(this.replica);
         const member = { host: self.host, address: options.address };
-        const { bootstrap, mayFound } = options;
+        const { bootstrap, mayFound: mayBootstrap } = options;
         this.clusterBootstrap = new ClusterBootstrap(
             this.replica,
             this.links,
             options.random,
             member,
             bootstrap,
-            mayFound,
+            mayBootstrap,
         );
         const addresses = bootstrap.map(({ address }) => address);
         this.membershipManager = new MembershipManager(
