--- a/src/control/packedView/index.ts
+++ b/src/control/packedView/index.ts
@@ -2,16 +2,16 @@
 import { WorkspaceView } from "../../workspace/index.js";
 import { PackedViews, ProfileView, ViewChange } from "../view/index.js";
 
-/** The size of a key's hash, in bytes. */
+/** Size of a key's hash, in bytes. */
 export const HASH_BYTES = 32;
-/** Stands for "no limit" where a column needs a number. */
+/** Value for "no limit" in the column of token limits. */
 export const NO_LIMIT = -1;
 
 /**
- * Puts a change's workspaces and keys into columns.
+ * Converts a change's workspaces and keys to the packed column format.
  *
  * @example
- * const small = packChange(state.changeSince(0));
+ * const packed = packChange(state.changeSince(0));
  */
 export function packChange(change: ViewChange): ViewChange {
     return { ...change, workspaces: [], keys: [], packed: { ...packWorkspaces(change), ...packKeys(change) } };
@@ -22,7 +22,7 @@
 
 function packWorkspaces({ workspaces }: ViewChange): WorkspaceColumns {
     const profiles: ProfileView[] = [];
-    // The registry resolves a template once for each set of parameters: equal profiles have the very same list of classes.
+    // The registry resolves a template once per set of parameters, so equal profiles share the same list of classes by reference.
     const indexes = new Map<WorkspaceView["classes"], number>();
     const profileOf = workspaces.map(view => {
         const known = indexes.get(view.classes);
@@ -45,7 +45,7 @@
     return { hashes, workspaceOf: keys.map(key => key.workspace) };
 }
 
-/** A hash in half the memory of hex: its bytes, one a character. */
+/** Converts a hex hash to a string with one character per byte, which takes half the memory. */
 export function packHash(hash: KeyHash): string {
     return Buffer.from(hash, "hex").toString("latin1");
 }
--- a/src/control/poolSizer/index.ts
+++ b/src/control/poolSizer/index.ts
@@ -4,46 +4,46 @@
 import { planZones, ZoneCount, ZoneSituation, ZoneWish } from "../../purchase/index.js";
 import { ScalingSpec } from "../../routing/index.js";
 import { Upstream, UpstreamRegistry } from "../../upstream/index.js";
+import { ControlState } from "../controlState/index.js";
 import { DemandTable } from "../demandTable/index.js";
 import { FencedCall, FencedSender } from "../fencedSender/index.js";
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
-import { ControlState } from "../state/index.js";
-
-const STEP_MS = 500;
-/** The share of an engine's time that may go into reading prompts: above it, streams beside a prompt pause too often. */
-const READING_SHARE = 0.35;
-/** The share that it may have where only steady upstreams are to be had, which cost more. */
-const MOST_READING_SHARE = 0.4;
-/** How long a lower need must last before it is believed, in milliseconds: bursts come in rows. */
-const CALM_MS = 15_000;
-/** How long a platform that has none left is left alone, in milliseconds. */
-const SOLD_OUT_MS = 3_000;
+
+const STEP_INTERVAL_MS = 500;
+/** Target share of an engine's time spent on prefill: above it, concurrent streams pause too often. */
+const PREFILL_SHARE = 0.35;
+/** Maximum prefill share where only steady (not reclaimable) upstreams are available, which cost more. */
+const MAX_PREFILL_SHARE = 0.4;
+/** Time that a lower need must last before a pool shrinks, in milliseconds, because bursts follow each other. */
+const SCALE_DOWN_DELAY_MS = 15_000;
+/** Back-off after the platform reported that it has no capacity left, in milliseconds. */
+const NO_CAPACITY_BACKOFF_MS = 3_000;
 /**
- * How long a term first watches, in milliseconds: upstreams announce themselves within little more than a second, but where all has just
- * started some reach a control process only with their third word, and owners report every two seconds.
+ * Observation period at the start of a term, in milliseconds. Upstreams announce themselves within little more than a second, but when all
+ * processes have just started, some reach a control process only with their third announcement, and owners report every two seconds.
  */
-const WATCH_MS = 4_000;
-/** How long an order that got no answer waits before it is sent again, in milliseconds. */
-const RETRY_MS = 1_000;
-/** How long after their start new upstreams have made themselves known, in milliseconds. */
-const RENEW_MARGIN_MS = 1_500;
-const STATUS_NONE_LEFT = 409;
-/** The fencing token of the first holder that there ever was. */
+const OBSERVATION_MS = 4_000;
+/** Delay before an order without a reply is resent, in milliseconds. */
+const RETRY_DELAY_MS = 1_000;
+/** Time after their start within which new upstreams have announced themselves, in milliseconds. */
+const ANNOUNCE_MARGIN_MS = 1_500;
+const STATUS_NO_CAPACITY = 409;
+/** Fencing token of the very first holder of the cluster. */
 const FIRST_TOKEN = 1;
-/** Upstreams beyond what there is, for a load that nobody has seen yet: cheap beside a first burst that finds too few. */
+/** Number of spare upstreams while the load is still unknown: cheaper than a first burst that finds too few. */
 const UNKNOWN_LOAD_SPARE = 1;
 
-/** A wanted number of upstreams. */
+/** Desired number of upstreams of one kind in a zone. */
 export interface SizeOrder {
     readonly pool: PoolId;
     readonly zone: ZoneId;
     readonly count: number;
-    /** Of those that the platform may take back at short notice. */
+    /** Whether the order is for upstreams that the platform may reclaim at short notice. */
     readonly reclaimable: boolean;
 }
 
-/** What the sizer is made of. */
+/** Options of `PoolSizer`. */
 export interface PoolSizerOptions {
     readonly self: { readonly host: HostId; };
     readonly clock: Clock;
@@ -52,40 +52,46 @@
     readonly registry: UpstreamRegistry;
     readonly demand: DemandTable;
     readonly sender: FencedSender;
+    /** The platform refuses orders with an outdated fencing token. */
     readonly platformChecksFence: boolean;
-    /** Writes an order as the platform takes it. */
-    readonly describe: (order: SizeOrder, term: HolderTerm) => FencedCall;
+    /** Builds the call that sends an order in the platform's format. */
+    readonly buildCall: (order: SizeOrder, term: HolderTerm) => FencedCall;
 }
 
-interface Ordered {
-    /** Undefined: the order got no answer, and may have been taken or not. */
+/** The latest order sent for a pool, zone and kind. */
+interface SentOrder {
+    /** Undefined: the order got no reply and may or may not have been accepted. */
     readonly count: number | undefined;
-    /** Monotonic, in milliseconds. */
+    /** Monotonic time, in milliseconds. */
     readonly sentAt: number;
+    /** Monotonic time before which it is not resent, in milliseconds. */
     readonly retryAt: number;
+    /** The platform has no capacity left. */
     readonly soldOut: boolean;
-    /** The most that were ready at a time since then. */
-    mostReady: number;
+    /** Maximum number of ready upstreams since then. */
+    maxReady: number;
 }
 
 /** An order to be sent now. */
 interface DueOrder extends SizeOrder {
+    /** Number of upstreams that are ready now. */
     readonly ready: number;
 }
 
 interface Need {
+    /** Number of upstreams. */
     count: number;
-    /** Monotonic time at which it was last this high, in milliseconds. */
+    /** Monotonic time at which the need was last this high, in milliseconds. */
     highAt: number;
 }
 
 /**
- * Keeps each pool at the size that its load needs, by orders of a wanted number for each zone and kind. An order that is sent twice
- * changes nothing, so nothing of it stands in the log: a new holder sends each order once more.
+ * Scales each pool to its load, by ordering a desired number of upstreams per zone and kind: reclaimable or steady (not reclaimable). Orders are idempotent and therefore not
+ * written to the log: a new holder sends each order once more.
  */
 export class PoolSizer extends HolderTask {
     readonly name = "pool-sizer";
-    private readonly ordered = new Map<string, Ordered>();
+    private readonly sentOrders = new Map<string, SentOrder>();
     private readonly needs = new Map<PoolId, Need>();
     private token: number | undefined;
     private termStartedAt = 0;
@@ -97,68 +103,69 @@
     async step(term: HolderTerm): Promise<number> {
         const { state, platformChecksFence } = this.options;
         this.startTerm(term);
-        this.watch();
-        const isWatching = this.options.clock.monotonic() - this.termStartedAt < WATCH_MS;
-        if (isWatching && term.token !== FIRST_TOKEN) return STEP_MS;
+        this.updateNeeds();
+        const isObserving = this.options.clock.monotonic() - this.termStartedAt < OBSERVATION_MS;
+        if (isObserving && term.token !== FIRST_TOKEN) return STEP_INTERVAL_MS;
         for (const { pool, scaling } of state.documents.held?.document.pools ?? []) {
             if (!scaling) continue;
             const orders = this.planPool(pool, scaling);
-            for (const due of isWatching ? orders.filter(order => this.onlyAdds(order)) : orders) {
-                if (!term.maySend(platformChecksFence)) return STEP_MS;
+            for (const due of isObserving ? orders.filter(order => this.onlyAddsCapacity(order)) : orders) {
+                if (!term.maySend(platformChecksFence)) return STEP_INTERVAL_MS;
                 await this.send(due, term);
             }
         }
-        return STEP_MS;
+        return STEP_INTERVAL_MS;
     }
 
     /**
-     * Whether an order can't take anything away while the first holder of all still watches: nobody has ordered reclaimable upstreams before it,
-     * so that the platform has none but those it has ordered itself. They start meanwhile, and steady ones are paid for some seconds less.
+     * Whether an order can only add capacity, so that the cluster's first holder may send it during its observation period: no earlier holder
+     * can have ordered reclaimable upstreams, so the platform has none but those ordered here. They start in the meantime, which saves some
+     * seconds of paying for steady ones.
      */
-    private onlyAdds(order: DueOrder): boolean {
-        const before = this.ordered.get(nameOf(order))?.count ?? 0;
-        return order.reclaimable && order.count > Math.max(before, order.ready);
+    private onlyAddsCapacity(order: DueOrder): boolean {
+        const previousCount = this.sentOrders.get(formatOrderKey(order))?.count ?? 0;
+        return order.reclaimable && order.count > Math.max(previousCount, order.ready);
     }
 
-    /** What an earlier term ordered was perhaps overtaken by another holder's orders. */
+    /** Drops the orders of an earlier term, which another holder's orders may have replaced. */
     private startTerm({ token }: HolderTerm): void {
         if (this.token === token) return;
         this.token = token;
         this.termStartedAt = this.options.clock.monotonic();
-        this.ordered.clear();
+        this.sentOrders.clear();
         this.needs.clear();
     }
 
     /**
-     * Follows what each pool needs.
+     * Updates the number of upstreams that each pool needs.
      *
-     * Guards against a pool that is shrunk for want of news: a new holder hears of upstreams one by one, and of the load later still.
-     * While it watches, a pool needs as many as it has, however few have made themselves known so far; and a load that is
-     * not there yet, as before the first callers come, has to stay away for as long as any lull.
+     * Prevents a pool from shrinking for lack of reports: a new holder discovers upstreams one by one, and the load even later. During its
+     * observation period a pool needs at least as many upstreams as have announced themselves so far, and a load that is absent from the start,
+     * as before the first calls, must stay absent for the whole `SCALE_DOWN_DELAY_MS`.
      */
-    private watch(): void {
+    private updateNeeds(): void {
         const now = this.options.clock.monotonic();
-        const isFirst = now - this.termStartedAt < WATCH_MS;
+        const isObserving = now - this.termStartedAt < OBSERVATION_MS;
         for (const { pool, scaling } of this.options.state.documents.held?.document.pools ?? []) {
             if (!scaling) continue;
-            const present = isFirst ? this.countNeedOfPresent(pool, scaling) : 0;
-            const count = Math.max(present, Math.ceil(this.readLoad(pool) / READING_SHARE));
+            const currentNeed = isObserving ? this.countNeedForCurrentSize(pool, scaling) : 0;
+            const count = Math.max(currentNeed, Math.ceil(this.findPrefillLoad(pool) / PREFILL_SHARE));
             const need = this.needs.get(pool);
-            const isHigh = !need || count >= need.count || now - need.highAt >= CALM_MS;
+            const isHigh = !need || count >= need.count || now - need.highAt >= SCALE_DOWN_DELAY_MS;
             if (isHigh) this.needs.set(pool, { count, highAt: now });
         }
     }
 
-    /** The need for which a pool of its present size would have been planned, and a little more: its load is not known. */
-    private countNeedOfPresent(pool: PoolId, scaling: ScalingSpec): number {
+    /** Returns the need that matches the pool's current size plus a spare, for use while its load is unknown. */
+    private countNeedForCurrentSize(pool: PoolId, scaling: ScalingSpec): number {
         const zones = this.describeZones(pool, scaling);
-        const present = zones.reduce((sum, { steady, reclaimable }) => sum + steady.ready + reclaimable.ready, 0);
-        const perZone = zones.length === 0 ? 0 : present / zones.length;
+        const readyCount = zones.reduce((sum, { steady, reclaimable }) => sum + steady.ready + reclaimable.ready, 0);
+        const perZone = zones.length === 0 ? 0 : readyCount / zones.length;
         return Math.ceil(perZone * Math.max(1, zones.length - 1)) + UNKNOWN_LOAD_SPARE;
     }
 
-    /** How many upstreams' time the prompts of the last seconds take to read by the last report; 0 without one. */
-    private readLoad(pool: PoolId): number {
+    /** Returns the prefill load by the latest report, as a number of fully busy upstreams; 0 without a report. */
+    private findPrefillLoad(pool: PoolId): number {
         return this.options.demand.listFresh().find(each => each.pool === pool)?.readingLoad ?? 0;
     }
 
@@ -166,74 +173,85 @@
         const zones = this.describeZones(pool, scaling);
         const { least, most, reclaimablePrice } = scaling;
         const needed = this.needs.get(pool)?.count ?? 0;
-        const leastNeeded = Math.ceil(needed * READING_SHARE / MOST_READING_SHARE);
-        const wishes = planZones({ zones, least, most, reclaimablePrice, needed, leastNeeded });
-        return wishes.flatMap((wish, at) => this.listOrders(pool, scaling, zones[at], wish));
+        const leastNeeded = Math.ceil(needed * PREFILL_SHARE / MAX_PREFILL_SHARE);
+        const targets = planZones({ zones, least, most, reclaimablePrice, needed, leastNeeded });
+        return targets.flatMap((target, at) => this.listOrders(pool, scaling, zones[at], target));
     }
 
-    private listOrders(pool: PoolId, scaling: ScalingSpec, zone: ZoneSituation, wish: ZoneWish): DueOrder[] {
+    private listOrders(pool: PoolId, scaling: ScalingSpec, zone: ZoneSituation, target: ZoneWish): DueOrder[] {
         const { steady, reclaimable } = zone;
         const orders: DueOrder[] = [
-            { pool, zone: wish.zone, count: wish.reclaimable, reclaimable: true, ready: reclaimable.ready },
-            { pool, zone: wish.zone, count: wish.steady, reclaimable: false, ready: steady.ready },
+            { pool, zone: target.zone, count: target.reclaimable, reclaimable: true, ready: reclaimable.ready },
+            { pool, zone: target.zone, count: target.steady, reclaimable: false, ready: steady.ready },
         ];
-        const renewMs = scaling.bootMs + RENEW_MARGIN_MS;
-        return orders.filter(order => this.isDue(order, renewMs));
+        const resendAfterMs = scaling.bootMs + ANNOUNCE_MARGIN_MS;
+        return orders.filter(order => this.isDue(order, resendAfterMs));
     }
 
     /**
-     * Guards against an order that the platform took in part, or that it has undone since: it keeps both kinds of a zone under one
-     * bound, so that reclaimable ones come only as steady ones go, and it takes reclaimable ones back. An order whose upstreams are not
-     * there after the time in which they start is sent again, and at once when some of them leave: either others start now, or the
-     * platform says that it has none, and steady ones can be ordered seconds before those that leave are gone.
+     * Whether an order must be sent or resent. The platform may fulfil an order partially or revert it: it has one limit for both kinds of a
+     * zone, so that reclaimable upstreams start only as steady ones stop, and it reclaims reclaimable ones. So an order is resent when its
+     * upstreams are missing after their start time, and at once when some of them leave: either others start now, or the platform replies
+     * that it has none and steady ones can be ordered seconds before the leaving ones are gone.
      */
-    private isDue(order: DueOrder, renewMs: number): boolean {
+    private isDue(order: DueOrder, resendAfterMs: number): boolean {
         const { ready } = order;
-        const known = this.ordered.get(nameOf(order));
-        if (!known) return order.count !== ready;
+        const previous = this.sentOrders.get(formatOrderKey(order));
+        if (!previous) return order.count !== ready;
         const now = this.options.clock.monotonic();
-        known.mostReady = Math.max(known.mostReady, ready);
-        if (now < known.retryAt) return false;
-        const isMissing = ready < order.count && (ready < known.mostReady || now - known.sentAt >= renewMs);
-        return known.count !== order.count || known.soldOut || isMissing;
+        previous.maxReady = Math.max(previous.maxReady, ready);
+        if (now < previous.retryAt) return false;
+        const isMissing = ready < order.count && (ready < previous.maxReady || now - previous.sentAt >= resendAfterMs);
+        return previous.count !== order.count || previous.soldOut || isMissing;
     }
 
     private describeZones(pool: PoolId, { zonePrices }: ScalingSpec): ZoneSituation[] {
         const upstreams = this.options.registry.list(pool);
         const zones = new Set(upstreams.map(({ zone }) => zone));
         return [...zones].sort().map(zone => {
-            const here = upstreams.filter(upstream => upstream.zone === zone && upstream.isGrantable);
+            const zoneUpstreams = upstreams.filter(upstream => upstream.zone === zone && upstream.isGrantable);
             return {
                 zone,
                 isEvacuated: this.options.state.zones.isEvacuated(zone),
                 price: zonePrices[zone] ?? 1,
-                steady: this.count(pool, zone, here, false),
-                reclaimable: this.count(pool, zone, here, true),
+                steady: this.countUpstreams(pool, zone, zoneUpstreams, false),
+                reclaimable: this.countUpstreams(pool, zone, zoneUpstreams, true),
             };
         });
     }
 
-    private count(pool: PoolId, zone: ZoneId, upstreams: readonly Upstream[], reclaimable: boolean): ZoneCount {
+    private countUpstreams(
+        pool: PoolId,
+        zone: ZoneId,
+        upstreams: readonly Upstream[],
+        reclaimable: boolean,
+    ): ZoneCount {
         const ready = upstreams.filter(({ announcement }) => announcement.reclaimable === reclaimable).length;
-        const ordered = this.ordered.get(nameOf({ pool, zone, reclaimable }));
+        const ordered = this.sentOrders.get(formatOrderKey({ pool, zone, reclaimable }));
         return { ready, ordered: ordered?.count, soldOut: ordered?.soldOut ?? false };
     }
 
     private async send({ ready, ...order }: DueOrder, term: HolderTerm): Promise<void> {
-        const { sender, logger, platformChecksFence, describe, clock } = this.options;
-        const sent = await sender.send(describe(order, term), () => term.maySend(platformChecksFence));
+        const { sender, logger, platformChecksFence, buildCall, clock } = this.options;
+        const sent = await sender.send(buildCall(order, term), () => term.maySend(platformChecksFence));
         const status = sent.map(reply => reply.status).orDefault(0);
         const isTaken = status >= 200 && status < 300;
-        const soldOut = status === STATUS_NONE_LEFT;
-        const pauseMs = soldOut ? SOLD_OUT_MS : isTaken ? 0 : RETRY_MS;
+        const soldOut = status === STATUS_NO_CAPACITY;
+        const pauseMs = soldOut ? NO_CAPACITY_BACKOFF_MS : isTaken ? 0 : RETRY_DELAY_MS;
         const count = isTaken || soldOut ? order.count : undefined;
         const sentAt = clock.monotonic();
-        this.ordered.set(nameOf(order), { count, soldOut, sentAt, retryAt: sentAt + pauseMs, mostReady: ready });
+        this.sentOrders.set(formatOrderKey(order), {
+            count,
+            soldOut,
+            sentAt,
+            retryAt: sentAt + pauseMs,
+            maxReady: ready,
+        });
         const need = this.needs.get(order.pool)?.count;
         logger.info("size-ordered", { ...order, status, need, token: term.token });
     }
 }
 
-function nameOf({ pool, zone, reclaimable }: Omit<SizeOrder, "count">): string {
+function formatOrderKey({ pool, zone, reclaimable }: Omit<SizeOrder, "count">): string {
     return `${pool}\n${zone}\n${reclaimable}`;
 }
--- a/src/control/poolSizer/test.ts
+++ b/src/control/poolSizer/test.ts
@@ -6,18 +6,18 @@
 import { VirtualClock } from "../../ports/index.js";
 import { checkDocument, makeDocument } from "../../routing/index.js";
 import { makeAnnouncement, UpstreamRegistry } from "../../upstream/index.js";
+import { ControlState } from "../controlState/index.js";
 import { DemandTable } from "../demandTable/index.js";
 import { FencedCall, FencedSender } from "../fencedSender/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
-import { ControlState } from "../state/index.js";
 import { PoolSizer, SizeOrder } from "./index.js";
 
 const POOL = "draft" as PoolId;
 const ZONES = ["keflavik", "grindavik", "sandgerdi", "vogar"];
 
-/** Takes every order, or has none left. */
+/** Records every order and replies with `status`. */
 class FakePlatform extends FencedSender {
-    readonly flightMs = 1_000;
+    readonly maxDeliveryMs = 1_000;
     readonly orders: SizeOrder[] = [];
     status = 200;
 
@@ -28,7 +28,7 @@
 
     resetAll(): void {}
 
-    /** The last number ordered of a kind in a zone. */
+    /** Returns the number last ordered of a kind in a zone. */
     last(zone: string, reclaimable: boolean): number | undefined {
         return this.orders.findLast(order => order.zone === zone && order.reclaimable === reclaimable)?.count;
     }
@@ -54,7 +54,7 @@
         logger: new SilentLogger(),
         sender: platform,
         platformChecksFence: false,
-        describe: order => ({ address: { host: "10.0.0.1", port: 1 }, path: "/", body: order }),
+        buildCall: order => ({ address: { host: "10.0.0.1", port: 1 }, path: "/", body: order }),
     });
     let sequence = 0;
     const announce = (id: string, zone: string, reclaimable: boolean, state: "ready" | "gone" = "ready"): void => {
@@ -63,7 +63,7 @@
     const run = async (ms: number, load?: number): Promise<void> => {
         for (let passed = 0; passed < ms; passed += 500) {
             const report = { pool: POOL, tiers: [], upstreams: [], readingLoad: load };
-            if (load !== undefined) demand.take({ region: "r", pools: [report] });
+            if (load !== undefined) demand.record({ region: "r", pools: [report] });
             await sizer.step(term);
             await clock.advance(500);
         }
@@ -72,9 +72,9 @@
 }
 
 describe("PoolSizer", () => {
-    it("orders nothing before it has watched, so that it plans for all upstreams and not for the first two", async () => {
-        // The first callers find two engines in place of eight. Engines make themselves known one by one; a holder that planned
-        // for those it had heard of gave the others back before the first request.
+    it("orders nothing during its observation period, so that it plans for all upstreams and not for the first two", async () => {
+        // Guards against two engines in place of eight at the first request: engines announce themselves one by one, and a holder that plans
+        // only for those known so far releases the others.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         await run(2_000);
@@ -87,10 +87,10 @@
         }
     });
 
-    it("plans for upstreams that are heard of only after three seconds", async () => {
-        // One engine is left in each zone as the first callers come, and short questions get nothing for eight seconds.
-        // Where all processes have just started, most engines reach a control process only with their third word.
-        // Cause: the holder watches for less than that, and takes the few that it has heard of for all.
+    it("plans for upstreams that announce themselves only after three seconds", async () => {
+        // Guards against one remaining engine per zone at the first request, which leaves short questions unanswered for eight seconds. When all
+        // processes have just started, most engines reach a control process only with their third announcement; a shorter observation
+        // period would take the few known engines for all.
         const { platform, announce, run } = makeSizer();
         announce("keflavik-0", "keflavik", false);
         await run(3_000);
@@ -101,8 +101,8 @@
         for (const zone of ZONES) assert.equal(platform.last(zone, true), 3);
     });
 
-    it("orders reclaimable ones at once where nobody can have ordered any, and gives nothing back before it has watched", async () => {
-        // On the first start steady engines are paid for until reclaimable ones take over, which were ordered four seconds late.
+    it("orders reclaimable ones at once where nobody can have ordered any, and releases nothing during its observation period", async () => {
+        // Guards against reclaimable engines that are ordered four seconds late on the first start, while steady ones are paid for until then.
         const { platform, announce, run } = makeSizer(1);
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         await run(1_000);
@@ -125,9 +125,9 @@
         assert.equal(platform.last("vogar", true), 1);
     });
 
-    it("orders again what has not come", async () => {
-        // A zone may have four upstreams of both kinds together. Of three reclaimable ones two came beside two steady ones; when a steady
-        // one had gone, the third was never asked for again, and the last steady one was paid for all day.
+    it("resends an order whose upstreams are missing", async () => {
+        // Guards against a steady engine that is paid for all day: a zone may have four upstreams of both kinds together, so of three
+        // reclaimable ones two start beside two steady ones, and when a steady one has stopped, the third must be ordered again.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         await run(6_000, 0.5);
@@ -140,8 +140,8 @@
     });
 
     it("orders again at once when reclaimable ones are about to leave, so that steady ones come in time", async () => {
-        // Callers wait for seconds. The platform takes a zone's engines back on short notice and has no others; the holder went on counting on
-        // them until the time in which new ones start had passed, and ordered steady ones only then.
+        // Guards against callers that wait for seconds when the platform reclaims a zone's engines at short notice and has no others, if the
+        // holder orders steady ones only after the start time of new engines has passed.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) {
             for (const number of [0, 1, 2]) announce(`${zone}-${number}`, zone, true);
@@ -157,7 +157,7 @@
         assert.ok(steady.some(({ count }) => count > 0), JSON.stringify(platform.orders.slice(before)));
     });
 
-    it("leaves a platform that has none left alone for a while", async () => {
+    it("backs off for a while when the platform has none left", async () => {
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         platform.status = 409;
@@ -169,8 +169,8 @@
         assert.ok(platform.orders.length > before);
     });
 
-    it("orders whole numbers after orders that got no answer", async () => {
-        // Guards against a pool that keeps its size for good once the platform has failed to answer: an order of no number is refused each time.
+    it("orders whole numbers after orders that got no reply", async () => {
+        // Guards against a pool that keeps its size forever after the platform failed to reply: an order without a number is refused each time.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) {
             announce(`${zone}-steady`, zone, false);
@@ -180,8 +180,8 @@
         await run(24_000, 0.5);
         platform.status = 200;
         await run(8_000, 0.5);
-        const strange = platform.orders.filter(({ count }) => !Number.isInteger(count));
-        assert.deepEqual(strange.slice(0, 2), []);
+        const invalid = platform.orders.filter(({ count }) => !Number.isInteger(count));
+        assert.deepEqual(invalid.slice(0, 2), []);
         assert.ok(ZONES.every(zone => platform.last(zone, false) === 0));
     });
 });
--- a/src/control/quarantineService/index.ts
+++ b/src/control/quarantineService/index.ts
@@ -4,13 +4,13 @@
 import { Logger } from "../../logging/index.js";
 import { LiftQuarantineCommand, QuarantinedRequest, QuarantineResult } from "../../quarantine/index.js";
 import { readThroughLog } from "../_lib/readThroughLog.js";
+import { ControlState } from "../controlState/index.js";
 import { ChangeUnavailableError, DurableChange, DurableChangeOptions } from "../durableChange/index.js";
-import { ControlState } from "../state/index.js";
 
-/** Hands an operator's lift to the holder; the body is a `LiftQuarantineCommand`. */
+/** Peer method that forwards the lifting of a quarantine to the holder; the body is a `LiftQuarantineCommand`. */
 const LIFT_METHOD = "control.quarantine";
 
-/** What quarantines are read and lifted through. */
+/** Options of `QuarantineService`. */
 export interface QuarantineServiceOptions extends DurableChangeOptions {
     readonly log: DurableChangeOptions["log"] & Pick<ReplicatedLog, "readBarrier">;
     readonly state: ControlState;
@@ -18,35 +18,35 @@
 }
 
 /**
- * Shows operators which requests are quarantined, and lets them lift a quarantine, at any control process.
+ * Lists quarantined requests and lifts quarantines; works at any control process.
  *
  * @example
  * const outcome = await service.lift(fingerprint);
  */
 export class QuarantineService {
-    private readonly change: DurableChange<LiftQuarantineCommand, QuarantineResult>;
+    private readonly submitter: DurableChange<LiftQuarantineCommand, QuarantineResult>;
 
     constructor(private readonly options: QuarantineServiceOptions) {
-        this.change = new DurableChange(options, { method: LIFT_METHOD });
+        this.submitter = new DurableChange(options, { method: LIFT_METHOD });
     }
 
     /**
-     * Lets a request run again.
+     * Lifts the quarantine of a request, so that it may run again.
      *
-     * @returns Once it is committed; on the left, when that is not known.
+     * @returns The result once it is committed; an error when it is not known to be.
      */
     async lift(fingerprint: RequestFingerprint): Promise<Either<ChangeUnavailableError, QuarantineResult>> {
         const { logger } = this.options;
-        const outcome = await this.change.make({ kind: "quarantine.lift", fingerprint });
+        const outcome = await this.submitter.submit({ kind: "quarantine.lift", fingerprint });
         return outcome
             .ifRight(({ state, revision }) => logger.info("quarantine-lifted", { fingerprint, state, revision }))
             .ifLeft(err => logger.warn("quarantine-not-lifted", { fingerprint, problem: err.message }));
     }
 
     /**
-     * Reads which requests are quarantined.
+     * Reads the quarantined requests.
      *
-     * @returns On the left, when this process can't be sure.
+     * @returns The requests; an error when this process can't confirm that its state is up to date.
      */
     read(): Promise<Either<ChangeUnavailableError, readonly QuarantinedRequest[]>> {
         const { log, state } = this.options;
--- a/src/control/quarantineService/test.ts
+++ b/src/control/quarantineService/test.ts
@@ -11,7 +11,7 @@
 describe("QuarantineService", () => {
     const fleet = { running: undefined as RoutedFleet | undefined };
 
-    /** A fleet in which one request is quarantined. */
+    /** Starts a fleet in which one request is quarantined. */
     async function startFleet(): Promise<RoutedFleet> {
         const upstreams = Array.from({ length: 5 }, () => UPSTREAM);
         const running = new RoutedFleet({ entries: 2, upstreams, queueHosts: true });
@@ -35,7 +35,7 @@
 
     afterEach(() => fleet.running?.close());
 
-    it("shows the same at each control process, with the runs that crashed", async () => {
+    it("lists the same at each control process, with the runs that crashed", async () => {
         const running = await startFleet();
         const lists = [];
         for (const through of [0, 1, 2, 3, 4]) lists.push(await read(running, through));
@@ -53,7 +53,7 @@
         assert.deepEqual(await read(running, 4), []);
     });
 
-    it("says nothing where no majority can be reached", async () => {
+    it("fails without a reachable majority", async () => {
         const running = await startFleet();
         const [{ fingerprint }] = (await read(running, 0))!;
         for (const number of [1, 2, 3]) await running.run(running.killControl(number));
--- a/src/control/routingService/index.ts
+++ b/src/control/routingService/index.ts
@@ -10,60 +10,62 @@
 import { PeerIdentity, PeerRouter, PeerTiming } from "../../wire/index.js";
 import { ControlLinkSet } from "../controlLinkSet/index.js";
 import { ControlService } from "../controlService/index.js";
+import { ControlState } from "../controlState/index.js";
 import { DocumentService } from "../documentService/index.js";
 import { FencedCall, FencedSender } from "../fencedSender/index.js";
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 import { PoolSizer, SizeOrder } from "../poolSizer/index.js";
 import { QuarantineService } from "../quarantineService/index.js";
-import { StartsCloser } from "../startsCloser/index.js";
-import { StartsNoter } from "../startsNoter/index.js";
+import { StartsRecorder } from "../startsRecorder/index.js";
 import { StartsReporter } from "../startsReporter/index.js";
 import { StartsTable } from "../startsTable/index.js";
-import { ControlState } from "../state/index.js";
+import { StartsWindowCloser } from "../startsWindowCloser/index.js";
 import { ZoneEvacuation } from "../zoneEvacuation/index.js";
 
-/** How often the list of control processes is read from the log, in milliseconds. */
-const MEMBERS_EVERY_MS = 500;
+/** Poll interval of the list of control processes in the log, in milliseconds. */
+const MEMBERS_POLL_INTERVAL_MS = 500;
 
-/** What a control process does for calls that are routed by the fleet document. */
+/** Options for the handling of calls that are routed by the fleet document. */
 export interface RoutingDuties {
-    /** Addresses of control processes, this one's perhaps among them, by which the cluster is founded or found. */
+    /** Addresses of control processes, possibly including this one, used to bootstrap or discover the cluster. */
     readonly seeds: readonly Address[];
-    /** No document is taken before so many voters keep the log, and no more become voters. */
+    /** Target number of voters: no more members become voters, and no document is accepted before the log has this many. */
     readonly voters: number;
-    /** False: this host has had a history, and must not found a cluster when it has lost it. */
+    /** False: this host has been a member before and must not bootstrap a new cluster if it has lost its data. */
     readonly mayFound: boolean;
-    /** The length of the windows in which started requests are counted, in milliseconds. */
+    /** Length of the windows in which request starts are counted, in milliseconds. */
     readonly startsWindowMs: number;
-    /** How long after its end a window waits for entries that have not reported, in milliseconds. */
+    /** Maximum wait after a window's end for entries that have not reported, in milliseconds. */
     readonly startsPatienceMs: number;
-    /** How long an upstream may be silent before it gets no more work, in milliseconds. */
+    /** Time without an announcement after which an upstream gets no more work, in milliseconds. */
     readonly silentAfterMs: number;
     /** The zones that may be evacuated; undefined: any. */
     readonly zones?: readonly ZoneId[];
-    /** Where counts go; undefined: they are counted and kept. */
+    /** The platform that counts are reported to; undefined: they are counted and kept. */
     readonly platform?: RoutingPlatform;
 }
 
-/** The platform that takes counts of started requests. */
+/** The platform that receives counts of request starts and, optionally, orders of pool sizes. */
 export interface RoutingPlatform {
-    /** It refuses what comes with an old fencing token. */
+    /** It refuses messages with an outdated fencing token. */
     readonly checksFence: boolean;
-    /** The longest that a call may be on its way, in milliseconds. */
+    /** Maximum delivery time of a call, in milliseconds. */
     readonly flightMs: number;
+    /** Builds the call that reports a closed window of request starts. */
     readonly describeStarts: (closed: ClosedStarts, term: HolderTerm) => FencedCall;
-    /** Undefined: the platform's upstreams are left as they are. */
+    /** Builds the call that orders a number of upstreams; undefined: pool sizes are left unchanged. */
     readonly describeSize?: (order: SizeOrder, term: HolderTerm) => FencedCall;
 }
 
-/** What the service is made of. */
+/** Options of `RoutingService`. */
 export interface RoutingServiceOptions {
     readonly network: Network;
     readonly clock: Clock;
     readonly random: Random;
     readonly logger: Logger;
     readonly self: PeerIdentity;
+    /** This process's own peer address. */
     readonly peers: Address;
     readonly timing: PeerTiming;
     readonly routing: RoutingDuties;
@@ -75,8 +77,8 @@
 }
 
 /**
- * A control process's part in routed calls: takes announcements and passes them on, keeps the fleet document, counts started
- * requests.
+ * The parts of a control process that serve calls routed by the fleet document: distribution of upstream announcements, the fleet
+ * document, zone evacuation, quarantine, and counts of request starts.
  *
  * @example
  * const routing = new RoutingService(options);
@@ -84,13 +86,14 @@
  */
 export class RoutingService {
     readonly registry: UpstreamRegistry;
-    /** Where upstreams' announcements are taken. */
+    /** Accepts the announcements of upstreams and sends them to subscribers. */
     readonly publisher: AnnouncementPublisher;
     readonly documents: DocumentService;
     readonly zones: ZoneEvacuation;
     readonly quarantine: QuarantineService;
+    /** Wall time agreed upon with the other control processes. */
     readonly time: TrueTime;
-    private readonly starts: StartsTable;
+    private readonly startsTable: StartsTable;
     private readonly subscriber: AnnouncementSubscriber;
     private readonly links: ControlLinkSet;
 
@@ -99,11 +102,11 @@
         const timing = { silentAfterMs: routing.silentAfterMs, tombstoneMs: TOMBSTONE_MS };
         this.registry = new UpstreamRegistry({ clock, timing });
         this.publisher = new AnnouncementPublisher({ clock, router, registry: this.registry });
-        this.documents = new DocumentService({ ...options, leastVoters: routing.voters });
-        this.zones = new ZoneEvacuation({ ...options, leastVoters: routing.voters, zones: routing.zones });
-        this.quarantine = new QuarantineService({ ...options, leastVoters: routing.voters });
+        this.documents = new DocumentService({ ...options, minVoters: routing.voters });
+        this.zones = new ZoneEvacuation({ ...options, minVoters: routing.voters, zones: routing.zones });
+        this.quarantine = new QuarantineService({ ...options, minVoters: routing.voters });
         this.time = new TrueTime(clock);
-        this.starts = new StartsTable(clock, router);
+        this.startsTable = new StartsTable(clock, router);
         this.subscriber = new AnnouncementSubscriber({
             ...options,
             registry: this.registry,
@@ -116,51 +119,54 @@
         });
     }
 
-    /** Changes the addresses by which other control processes are found. */
+    /** Replaces the seed addresses by which other control processes are discovered. */
     setSeeds(seeds: readonly Address[]): void {
         this.links.setSeeds(seeds);
     }
 
-    /** Begins to follow the other control processes and to send news. */
+    /** Starts publishing announcements and subscribing to those of the other control processes. */
     start(): void {
         const { lifecycle, logger, routing } = this.options;
         const onError = (err: unknown): void => logger.error("task-failed", { problem: String((err as Error).stack) });
         this.setSeeds(routing.seeds);
         lifecycle.run(signal => this.publisher.run(signal), onError);
-        lifecycle.run(signal => this.followMembers(signal), onError);
+        lifecycle.run(signal => this.pollMembers(signal), onError);
         lifecycle.run(signal => this.subscriber.run(signal), onError);
     }
 
-    /** What the holder of the lease does for routed calls. */
+    /** Creates the lease holder's tasks for routed calls. */
     makeTasks(sender: FencedSender): HolderTask[] {
         const { routing } = this.options;
-        const { startsWindowMs: windowMs, startsPatienceMs: patienceMs, platform } = routing;
-        const parts = { ...this.options, table: this.starts, time: this.time, windowMs, patienceMs };
-        const tasks: HolderTask[] = [new StartsNoter(parts), new StartsCloser(parts)];
+        const { startsWindowMs: windowMs, startsPatienceMs: maxReportWaitMs, platform } = routing;
+        const shared = { ...this.options, table: this.startsTable, time: this.time, windowMs, maxReportWaitMs };
+        const tasks: HolderTask[] = [new StartsRecorder(shared), new StartsWindowCloser(shared)];
         if (!platform) return tasks;
         const { checksFence: platformChecksFence, describeStarts, describeSize } = platform;
-        const towards = { ...this.options, sender, platformChecksFence };
-        tasks.push(new StartsReporter({ ...towards, describe: describeStarts }));
-        if (describeSize) tasks.push(this.makeSizer(towards, describeSize));
+        const platformOptions = { ...this.options, sender, platformChecksFence };
+        tasks.push(new StartsReporter({ ...platformOptions, buildCall: describeStarts }));
+        if (describeSize) tasks.push(this.makeSizer(platformOptions, describeSize));
         return tasks;
     }
 
     private makeSizer(
-        towards: RoutingServiceOptions & { readonly sender: FencedSender; readonly platformChecksFence: boolean; },
+        platformOptions: RoutingServiceOptions & {
+            readonly sender: FencedSender;
+            readonly platformChecksFence: boolean;
+        },
         describe: NonNullable<RoutingPlatform["describeSize"]>,
     ): PoolSizer {
         const { demand } = this.options.service;
-        return new PoolSizer({ ...towards, registry: this.registry, demand, describe });
+        return new PoolSizer({ ...platformOptions, registry: this.registry, demand, buildCall: describe });
     }
 
-    private async followMembers(signal: AbortSignal): Promise<void> {
+    private async pollMembers(signal: AbortSignal): Promise<void> {
         const { clock, log } = this.options;
         while (!signal.aborted) {
             this.links.setMembers(log.configuration().members.map(({ address }) => formatAddress(address)));
-            await clock.sleepToTick(MEMBERS_EVERY_MS, signal);
+            await clock.sleepToTick(MEMBERS_POLL_INTERVAL_MS, signal);
         }
     }
 }
 
-/** How long a leaver is remembered: longer than any announcement can be under way, in milliseconds. */
+/** Lifetime of the tombstone of a departed upstream, longer than any announcement can be in transit, in milliseconds. */
 const TOMBSTONE_MS = 3_600_000;
--- a/src/control/operatorServer/index.ts
+++ b/src/control/serveOperators/index.ts
@@ -5,8 +5,8 @@
 /**
  * Serves the operators' API of a control process.
  *
- * @param address - Where operators reach this process.
- * @throws NetworkError when the address is taken.
+ * @param address - Listen address.
+ * @throws NetworkError when the address is in use.
  * @example
  * const listener = await serveOperators(http, address, { log, state, service, operatorAddresses });
  */
--- a/src/control/startsNoter/index.ts
+++ b/src/control/startsRecorder/index.ts
@@ -1,16 +1,16 @@
 import { ControlLog } from "../../consensus/index.js";
 import { Logger } from "../../logging/index.js";
 import { RunReport } from "../../usage/index.js";
+import { ControlState } from "../controlState/index.js";
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 import { StartsTable } from "../startsTable/index.js";
-import { ControlState } from "../state/index.js";
 
-/** How often counts go into the log, in milliseconds: those of the time since are lost if all processes are. */
-const NOTE_EVERY_MS = 50;
+/** Interval at which counts are written to the log, in milliseconds: later counts are lost if all processes are lost. */
+const RECORD_INTERVAL_MS = 50;
 
-/** What the noter is made of. */
-export interface StartsNoterOptions {
+/** Options of `StartsRecorder`. */
+export interface StartsRecorderOptions {
     readonly log: ControlLog;
     readonly state: ControlState;
     readonly table: StartsTable;
@@ -18,15 +18,15 @@
 }
 
 /**
- * Puts the counts of open windows into the log, by run of an entry and only what is new.
+ * Writes new counts of open windows to the log, per run of an entry.
  *
- * Guards against a window that is billed in part: its counts are in memory alone until it is closed, and all processes may be killed or lose
- * power before.
+ * Prevents incomplete windows: otherwise the counts would be only in memory until the window is closed, and all processes may be killed or
+ * lose power before that.
  */
-export class StartsNoter extends HolderTask {
+export class StartsRecorder extends HolderTask {
     readonly name = "starts-noter";
 
-    constructor(private readonly options: StartsNoterOptions) {
+    constructor(private readonly options: StartsRecorderOptions) {
         super();
     }
 
@@ -34,21 +34,21 @@
         const { table, log, logger } = this.options;
         const runs = this.takeOpen();
         if (runs.length === 0 || !term.mayAct()) {
-            table.returnUnnoted(runs);
-            return NOTE_EVERY_MS;
+            table.returnUnrecorded(runs);
+            return RECORD_INTERVAL_MS;
         }
-        const noted = await log.propose({ kind: "starts.note", runs });
-        noted.ifLeft(err => {
+        const recorded = await log.propose({ kind: "starts.note", runs });
+        recorded.ifLeft(err => {
             logger.warn("starts-not-noted", { runs: runs.length, problem: err.message });
-            table.returnUnnoted(runs);
+            table.returnUnrecorded(runs);
         });
-        return NOTE_EVERY_MS;
+        return RECORD_INTERVAL_MS;
     }
 
-    /** What has come since the last time of windows that are not closed. */
+    /** Takes the unrecorded counts of windows that are not closed. */
     private takeOpen(): RunReport[] {
         const { table, state } = this.options;
-        return table.takeUnnoted().flatMap(({ run, windows }) => {
+        return table.takeUnrecorded().flatMap(({ run, windows }) => {
             const open = windows.filter(({ window }) => !state.starts.isClosed(window));
             return open.length > 0 ? [{ run, windows: open }] : [];
         });
--- a/src/control/startsNoter/test.ts
+++ b/src/control/startsRecorder/test.ts
@@ -4,16 +4,16 @@
 import { makeDocument } from "../../routing/index.js";
 
 const CALLS = 10;
-/** Counts are on disk within so long, in milliseconds. */
-const NOTED_WITHIN_MS = 300;
+/** Maximum time until counts are on disk, in milliseconds. */
+const MAX_RECORD_DELAY_MS = 300;
 
 describe("counts of started requests", () => {
     const fleet = { running: undefined as RoutedFleet | undefined };
 
     afterEach(() => fleet.running?.close());
 
-    it("outlive the loss of power of all hosts in the middle of their window", async () => {
-        // Guards against a window that is billed in part: its counts were in the memory of processes that are all gone.
+    it("survive a power loss of all hosts in the middle of their window", async () => {
+        // Guards against an incomplete window: its counts were only in the memory of processes that are all gone.
         const running = new RoutedFleet({ entries: 2, upstreams: [{}], queueHosts: true });
         fleet.running = running;
         await running.start(makeDocument());
@@ -23,7 +23,7 @@
                 200,
             );
         }
-        await running.pass(NOTED_WITHIN_MS);
+        await running.pass(MAX_RECORD_DELAY_MS);
         for (const number of [0, 1]) await running.killEntry(number);
         for (const number of [0, 1, 2, 3, 4]) await running.killControl(number);
         for (const number of [0, 1, 2, 3, 4]) await running.run(running.startControl(number));
--- a/src/control/startsReporter/index.ts
+++ b/src/control/startsReporter/index.ts
@@ -1,33 +1,33 @@
 import { ClosedStarts } from "../../usage/index.js";
+import { ControlState } from "../controlState/index.js";
 import { FencedCall } from "../fencedSender/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
-import { ControlState } from "../state/index.js";
-import { DueReport, WindowReporter, WindowReporterParts } from "../windowReporter/index.js";
+import { PendingReport, WindowReporter, WindowReporterOptions } from "../windowReporter/index.js";
 
-const PACE = { pauseMs: 200, firstRetryMs: 300, lastRetryMs: 2_000 };
-/** Older windows than this many are no longer sent: nobody takes them, and they would hold up the rest. */
-const MOST_BACKLOG = 24;
+const TIMING = { pauseMs: 200, firstRetryMs: 300, lastRetryMs: 2_000 };
+/** Only this many of the latest windows are sent: older ones are no longer accepted and would delay the rest. */
+const MAX_BACKLOG_WINDOWS = 24;
 
-/** What the reporter is made of. */
-export interface StartsReporterOptions extends WindowReporterParts {
+/** Options of `StartsReporter`. */
+export interface StartsReporterOptions extends WindowReporterOptions {
     readonly state: ControlState;
-    /** Writes a window as the platform takes it. */
-    readonly describe: (closed: ClosedStarts, term: HolderTerm) => FencedCall;
+    /** Builds the call that reports a window in the platform's format. */
+    readonly buildCall: (closed: ClosedStarts, term: HolderTerm) => FencedCall;
 }
 
-/** Reports closed windows of started requests. */
+/** Reports closed windows of request starts to the platform. */
 export class StartsReporter extends WindowReporter {
     readonly name = "starts-report";
 
     constructor(private readonly options: StartsReporterOptions) {
-        super(options, PACE);
+        super(options, TIMING);
     }
 
-    protected listDue(term: HolderTerm): readonly DueReport[] {
-        const { state, describe } = this.options;
-        return state.starts.listUnreported().slice(-MOST_BACKLOG).map(closed => ({
+    protected listPending(term: HolderTerm): readonly PendingReport[] {
+        const { state, buildCall } = this.options;
+        return state.starts.listUnreported().slice(-MAX_BACKLOG_WINDOWS).map(closed => ({
             name: closed.window,
-            call: describe(closed, term),
+            call: buildCall(closed, term),
             confirmation: { kind: "starts.reported", window: closed.window },
         }));
     }
--- a/src/control/startsTable/index.ts
+++ b/src/control/startsTable/index.ts
@@ -2,114 +2,118 @@
 import { RunReport, RunStarts, StartWindow } from "../../usage/index.js";
 import { PeerRouter } from "../../wire/index.js";
 
-/** Told by entries what they have counted; the body is a `StartsReport`. */
+/** Peer method by which entries report their counts of request starts; the body is a `StartsReport`. */
 export const STARTS_METHOD = "control.starts";
 
 /**
- * An entry that has said nothing for this long has ended, in milliseconds; its counts still hold. Longer than most cuts: the windows
- * of an entry that has ended wait a little longer, and those of one that comes back are whole.
+ * An entry that has not reported for this long counts as ended, in milliseconds; its counts stay valid. Longer than most network partitions:
+ * windows of an ended entry wait a little longer, and those of an entry that comes back are complete.
  */
-const LIVE_MS = 20_000;
-/** A window has been closed by so long after it was first heard of, in milliseconds. */
-const KEPT_MS = 90_000;
+const LIVENESS_TIMEOUT_MS = 20_000;
+/** Time after a window's first report by which it has been closed and can be dropped, in milliseconds. */
+const RETENTION_MS = 90_000;
 
-/** What one run of an entry has counted, window by window, since it began. */
+/** Counts of request starts per window of one run of an entry, since the run began. */
 export interface StartsReport {
     readonly host: string;
     readonly incarnation: string;
-    /** True time at which this was counted, in milliseconds since the epoch. */
+    /** True time of these counts, in milliseconds since the epoch. */
     readonly countedAt: number;
     readonly windows: readonly StartWindow[];
-    /** The entry has stopped: this run counts no more. */
+    /** The entry has stopped: this is the final report of this run. */
     readonly isLast?: boolean;
 }
 
-interface Run {
-    /** True time up to which its counts are whole, in milliseconds since the epoch. */
+interface RunState {
+    /** True time up to which its counts are complete, in milliseconds since the epoch. */
     countedAt: number;
-    /** Monotonic, in milliseconds. */
+    /** Monotonic time of its latest report, in milliseconds. */
     heardAt: number;
-    /** It counts no more, and is not waited for. */
+    /** The run has ended; no further reports are awaited. */
     hasEnded: boolean;
 }
 
 /**
- * What entries have counted, in the memory of each control process: a new holder has the counts of entries that are lost since.
+ * Counts of request starts reported by entries, kept in memory by each control process, so that a new holder has the counts of entries
+ * that were lost before its term.
  *
  * @example
- * if (table.isWhole(windowEnd)) await close(table.counts.sum(window));
+ * if (table.isComplete(windowEnd)) await close(table.counts.sum(window));
  */
 export class StartsTable {
     readonly counts = new RunStarts();
-    /** What has come since it was last taken to be noted. */
-    private readonly unnoted = new RunStarts();
-    private readonly runs = new Map<string, Run>();
-    /** The run of each host that was heard of last for the first time: the ones before have ended. */
+    /** Counts received since the last `takeUnrecorded`. */
+    private readonly unrecorded = new RunStarts();
+    private readonly runs = new Map<string, RunState>();
+    /** Key of the run of each host that first reported most recently; the host's earlier runs have ended. */
     private readonly currentRuns = new Map<string, string>();
-    /** When each window was first heard of; monotonic, in milliseconds. */
-    private readonly windows = new Map<number, number>();
+    /** Monotonic time at which each window was first reported, in milliseconds. */
+    private readonly firstReceivedAt = new Map<number, number>();
 
     constructor(private readonly clock: Clock, router: PeerRouter) {
-        router.add(STARTS_METHOD, body => this.take(body as StartsReport));
+        router.add(STARTS_METHOD, body => this.record(body as StartsReport));
     }
 
-    /** Takes a report. */
-    take({ host, incarnation, countedAt, windows, isLast = false }: StartsReport): void {
-        const name = `${host} ${incarnation}`;
-        const run = this.runs.get(name) ?? this.startRun(host, name, countedAt);
+    /** Records a report. */
+    record({ host, incarnation, countedAt, windows, isLast = false }: StartsReport): void {
+        const runKey = `${host} ${incarnation}`;
+        const run = this.runs.get(runKey) ?? this.startRun(host, runKey, countedAt);
         run.heardAt = this.clock.monotonic();
         run.countedAt = Math.max(run.countedAt, countedAt);
         run.hasEnded ||= isLast;
-        const grown = this.counts.merge(name, windows);
-        this.unnoted.merge(name, grown);
-        this.noteWindows(windows);
+        const increased = this.counts.merge(runKey, windows);
+        this.unrecorded.merge(runKey, increased);
+        this.trackWindows(windows);
     }
 
-    /** Gives what has come since the last time, once. */
-    takeUnnoted(): readonly RunReport[] {
-        const runs = this.unnoted.list();
-        this.unnoted.clear();
+    /** Returns and clears the counts received since the last call. */
+    takeUnrecorded(): readonly RunReport[] {
+        const runs = this.unrecorded.list();
+        this.unrecorded.clear();
         return runs;
     }
 
-    /** Takes back what could not be noted. */
-    returnUnnoted(runs: readonly RunReport[]): void {
-        this.unnoted.mergeAll(runs);
+    /** Adds counts back that could not be recorded in the log. */
+    returnUnrecorded(runs: readonly RunReport[]): void {
+        this.unrecorded.mergeAll(runs);
     }
 
-    /** Whether each entry that lives has reported past a moment of true time. */
-    isWhole(until: number): boolean {
-        const oldest = this.clock.monotonic() - LIVE_MS;
-        const heard = [...this.runs.values()].filter(({ heardAt }) => heardAt >= oldest);
-        return heard.length > 0 && heard.every(({ hasEnded, countedAt }) => hasEnded || countedAt >= until);
+    /** Whether every live entry has reported its counts up to a point in true time. */
+    isComplete(until: number): boolean {
+        const oldest = this.clock.monotonic() - LIVENESS_TIMEOUT_MS;
+        const live = [...this.runs.values()].filter(({ heardAt }) => heardAt >= oldest);
+        return live.length > 0 && live.every(({ hasEnded, countedAt }) => hasEnded || countedAt >= until);
     }
 
-    private startRun(host: string, name: string, countedAt: number): Run {
-        const before = this.runs.get(this.currentRuns.get(host) ?? "");
-        if (before) before.hasEnded = true;
+    private startRun(host: string, runKey: string, countedAt: number): RunState {
+        const previous = this.runs.get(this.currentRuns.get(host) ?? "");
+        if (previous) previous.hasEnded = true;
         const run = { countedAt, heardAt: 0, hasEnded: false };
-        this.runs.set(name, run);
-        this.currentRuns.set(host, name);
+        this.runs.set(runKey, run);
+        this.currentRuns.set(host, runKey);
         return run;
     }
 
     /**
-     * Guards against a table that grows for ever: most control processes never hold the lease, and close no window.
+     * Records new windows and drops expired ones. Without expiry the table would grow forever on control processes that never hold the lease
+     * and so never close a window.
      */
-    private noteWindows(windows: readonly StartWindow[]): void {
+    private trackWindows(windows: readonly StartWindow[]): void {
         const now = this.clock.monotonic();
-        const added = windows.filter(({ window }) => !this.windows.has(window));
+        const added = windows.filter(({ window }) => !this.firstReceivedAt.has(window));
         if (added.length === 0) return;
-        for (const { window } of added) this.windows.set(window, now);
-        this.forgetOld(now - KEPT_MS);
+        for (const { window } of added) this.firstReceivedAt.set(window, now);
+        this.dropExpired(now - RETENTION_MS);
     }
 
-    private forgetOld(oldest: number): void {
-        const old = new Set([...this.windows].filter(([, heardAt]) => heardAt < oldest).map(([window]) => window));
-        const isOld = (window: number): boolean => old.has(window);
-        this.counts.forget(isOld);
-        this.unnoted.forget(isOld);
-        for (const window of old) this.windows.delete(window);
+    private dropExpired(oldest: number): void {
+        const expired = new Set(
+            [...this.firstReceivedAt].filter(([, heardAt]) => heardAt < oldest).map(([window]) => window),
+        );
+        const isExpired = (window: number): boolean => expired.has(window);
+        this.counts.forget(isExpired);
+        this.unrecorded.forget(isExpired);
+        for (const window of expired) this.firstReceivedAt.delete(window);
         for (const [name, { heardAt }] of this.runs) {
             if (heardAt < oldest) this.runs.delete(name);
         }
--- a/src/control/startsTable/test.ts
+++ b/src/control/startsTable/test.ts
@@ -6,23 +6,23 @@
 import { VirtualClock } from "../../ports/index.js";
 import { TrueTime } from "../../time/index.js";
 import { PeerRouter } from "../../wire/index.js";
+import { ControlState } from "../controlState/index.js";
 import { FencedCall, FencedSender } from "../fencedSender/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 import { MemoryLogGroup } from "../memoryControlLog/index.js";
-import { StartsCloser, windowPatienceMs } from "../startsCloser/index.js";
-import { StartsNoter } from "../startsNoter/index.js";
+import { StartsRecorder } from "../startsRecorder/index.js";
 import { StartsReporter } from "../startsReporter/index.js";
-import { ControlState } from "../state/index.js";
+import { StartsWindowCloser, windowPatienceMs } from "../startsWindowCloser/index.js";
 import { StartsReport, StartsTable } from "./index.js";
 
 const WINDOW_MS = 5_000;
-/** How long after a window's end its report is due, in milliseconds. */
+/** Time after a window's end at which its report is due, in milliseconds. */
 const DUE_MS = 10_000;
 const BUTCHER = "butcher" as WorkspaceId;
 
-/** Keeps what it is sent; answers with its status. */
+/** Records the reports and replies with `status`. */
 class FakePlatform extends FencedSender {
-    readonly flightMs = 1_000;
+    readonly maxDeliveryMs = 1_000;
     readonly reports: { window: number; counts: Record<string, number>; }[] = [];
     status = 200;
 
@@ -34,7 +34,7 @@
     resetAll(): void {}
 }
 
-async function makeTable(patienceMs = 6_000) {
+async function makeTable(maxReportWaitMs = 6_000) {
     const clock = new VirtualClock();
     const state = new ControlState();
     const group = new MemoryLogGroup(clock);
@@ -44,22 +44,22 @@
     const time = new TrueTime(clock);
     const platform = new FakePlatform();
     const term = { token: 1 as FencingToken, maySend: () => true, mayAct: () => true } as unknown as HolderTerm;
-    const parts = { log, state, table, time, logger: new SilentLogger(), windowMs: WINDOW_MS, patienceMs };
-    const closer = new StartsCloser(parts);
+    const shared = { log, state, table, time, logger: new SilentLogger(), windowMs: WINDOW_MS, maxReportWaitMs };
+    const closer = new StartsWindowCloser(shared);
     const reporter = new StartsReporter({
-        ...parts,
+        ...shared,
         sender: platform,
         platformChecksFence: false,
-        describe: ({ window, counts }) => ({
+        buildCall: ({ window, counts }) => ({
             address: { host: "10.0.0.1", port: 1 },
             path: "/",
             body: { window, counts },
         }),
     });
-    const first = Math.floor(time.now() / WINDOW_MS);
-    const report = (host: string, count: number, window = first, run: Partial<StartsReport> = {}): void => {
+    const firstWindow = Math.floor(time.now() / WINDOW_MS);
+    const report = (host: string, count: number, window = firstWindow, run: Partial<StartsReport> = {}): void => {
         const windows = [{ window, counts: { [BUTCHER]: count } as StartsReport["windows"][0]["counts"] }];
-        table.take({ host, incarnation: "1", countedAt: time.now(), windows, ...run });
+        table.record({ host, incarnation: "1", countedAt: time.now(), windows, ...run });
     };
     const run = async (ms: number, reporting: () => void = () => undefined): Promise<void> => {
         for (let passed = 0; passed < ms; passed += 250) {
@@ -69,7 +69,7 @@
             await clock.advance(250);
         }
     };
-    return { clock, state, log, time, platform, table, report, run, first };
+    return { clock, state, log, time, platform, table, report, run, first: firstWindow };
 }
 
 describe("windows of started requests", () => {
@@ -83,8 +83,8 @@
         assert.equal(platform.reports.filter(({ window }) => window === first).length, 1);
     });
 
-    it("wait for an entry that has fallen silent, but not for ever", async () => {
-        // An entry is cut off for a few seconds. Its counts must not be missing from the bill, but the bill is due.
+    it("wait for an entry that has stopped reporting, but not forever", async () => {
+        // An entry is partitioned for a few seconds. Its counts should be in the report, but the report must be sent in time.
         const { platform, report, run } = await makeTable();
         report("entry-2", 4);
         await run(7_000, () => report("entry-1", 3));
@@ -93,8 +93,8 @@
         assert.deepEqual(platform.reports[0].counts, { butcher: 7 });
     });
 
-    it("wait for an entry that is cut off for as long as their report can still be in time", async () => {
-        // Guards against windows that are billed in part, though an entry that was cut off for ten seconds came back before the report was due.
+    it("wait for a partitioned entry for as long as their report can still be in time", async () => {
+        // Guards against incomplete windows when an entry is partitioned for ten seconds but comes back before the report is due.
         const { clock, platform, report, run } = await makeTable(windowPatienceMs(DUE_MS));
         report("entry-1", 3);
         report("entry-2", 4);
@@ -114,15 +114,15 @@
         assert.ok(clock.monotonic() <= WINDOW_MS + DUE_MS - 1_000, `${clock.monotonic()} ms`);
     });
 
-    it("do not wait for a run of an entry that another one has followed, and keep its counts", async () => {
-        // Guards against windows that are closed as late as they may be while entries restart in turn: a fault of the platform then makes them late.
+    it("do not wait for a run of an entry that another run has replaced, and keep its counts", async () => {
+        // Guards against windows that are closed at the last moment during a rolling restart of entries, so that any platform fault makes them late.
         const { platform, report, run, first } = await makeTable();
         report("entry-1", 3);
         await run(7_000, () => report("entry-1", 4, first, { incarnation: "2" }));
         assert.deepEqual(platform.reports[0].counts, { butcher: 7 });
     });
 
-    it("do not wait again for an earlier run whose report was held up", async () => {
+    it("do not wait again for an earlier run whose report was delayed", async () => {
         const { platform, report, run, first } = await makeTable();
         report("entry-1", 3);
         report("entry-1", 4, first, { incarnation: "2" });
@@ -131,7 +131,7 @@
         assert.deepEqual(platform.reports[0].counts, { butcher: 9 });
     });
 
-    it("do not wait for an entry that has said its last word, and keep its counts", async () => {
+    it("do not wait for an entry that has sent its final report, and keep its counts", async () => {
         const { platform, report, run, first } = await makeTable();
         report("entry-2", 4, first, { isLast: true });
         await run(7_000, () => report("entry-1", 3));
@@ -147,12 +147,12 @@
     });
 
     it("keep what was counted when all processes are killed in the middle of them", async () => {
-        // Guards against a window that is billed in part: its counts were in the memory of processes that are all gone.
+        // Guards against an incomplete window: its counts were only in the memory of processes that are all gone.
         const { clock, state, table, log, report, first, time } = await makeTable();
         const term = { token: 1 as FencingToken, mayAct: () => true } as unknown as HolderTerm;
         report("entry-1", 3);
         report("entry-2", 4);
-        await new StartsNoter({ log, state, table, logger: new SilentLogger() }).step(term);
+        await new StartsRecorder({ log, state, table, logger: new SilentLogger() }).step(term);
         const revived = new ControlState();
         revived.restore(state.snapshot());
         const group = new MemoryLogGroup(clock);
@@ -160,32 +160,32 @@
         group.elect("control-1" as HostId);
         const nextTable = new StartsTable(clock, new PeerRouter());
         const windows = [{ window: first, counts: { [BUTCHER]: 5 } as StartsReport["windows"][0]["counts"] }];
-        nextTable.take({ host: "entry-1", incarnation: "2", countedAt: time.now(), windows });
+        nextTable.record({ host: "entry-1", incarnation: "2", countedAt: time.now(), windows });
         const parts = { log: nextLog, state: revived, table: nextTable, time, logger: new SilentLogger() };
-        const closer = new StartsCloser({ ...parts, windowMs: WINDOW_MS, patienceMs: 6_000 });
+        const closer = new StartsWindowCloser({ ...parts, windowMs: WINDOW_MS, maxReportWaitMs: 6_000 });
         await clock.advance(12_000);
         await closer.step(term);
         assert.deepEqual(revived.starts.listUnreported()[0].counts, { butcher: 12 });
         assert.equal(revived.openStarts.isEmpty, true);
     });
 
-    it("are not counted twice by a holder that has heard what is noted", async () => {
+    it("are not counted twice by a holder that has received counts already recorded in the log", async () => {
         const { clock, state, table, log, report, time } = await makeTable();
         const term = { token: 1 as FencingToken, mayAct: () => true } as unknown as HolderTerm;
-        const noter = new StartsNoter({ log, state, table, logger: new SilentLogger() });
+        const noter = new StartsRecorder({ log, state, table, logger: new SilentLogger() });
         report("entry-1", 3);
         await noter.step(term);
         report("entry-1", 5);
         await noter.step(term);
         const parts = { log, state, table, time, logger: new SilentLogger() };
         await clock.advance(12_000);
-        await new StartsCloser({ ...parts, windowMs: WINDOW_MS, patienceMs: 6_000 }).step(term);
+        await new StartsWindowCloser({ ...parts, windowMs: WINDOW_MS, maxReportWaitMs: 6_000 }).step(term);
         assert.deepEqual(state.starts.listUnreported()[0].counts, { butcher: 5 });
     });
 
     it("are sent again with the same counts, whatever has been counted since", async () => {
-        // The platform is down when a window is due. An entry's late count arrives before the next try; a report with other counts
-        // than the first would be a second bill.
+        // The platform is down when a window is due, and an entry's late count arrives before the retry. A report with different counts
+        // would be billed a second time.
         const { platform, report, run, first } = await makeTable();
         platform.status = 503;
         await run(7_000, () => report("entry-1", 3));
@@ -196,8 +196,8 @@
         assert.ok(reports.every(({ counts }) => counts.butcher === 3));
     });
 
-    it("forget windows that are closed, also where nobody closes them", async () => {
-        // Guards against memory that grows for ever at control processes that never hold the lease.
+    it("are dropped once closed, also on processes that close none", async () => {
+        // Guards against memory that grows forever at control processes that never hold the lease.
         const { clock, table, report, first } = await makeTable();
         for (let window = first; window < first + 100; window++) {
             report("entry-1", 3, window);
@@ -205,6 +205,6 @@
         }
         const [{ windows }] = table.counts.list();
         assert.ok(windows.length <= 20, `${windows.length}`);
-        assert.equal(table.takeUnnoted()[0].windows.length, windows.length);
+        assert.equal(table.takeUnrecorded()[0].windows.length, windows.length);
     });
 });
--- a/src/control/startsCloser/index.ts
+++ b/src/control/startsWindowCloser/index.ts
@@ -2,25 +2,25 @@
 import { Logger } from "../../logging/index.js";
 import { TrueTime } from "../../time/index.js";
 import { RunStarts, StartCounts } from "../../usage/index.js";
+import { ControlState } from "../controlState/index.js";
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 import { StartsTable } from "../startsTable/index.js";
-import { ControlState } from "../state/index.js";
 
 const PAUSE_MS = 250;
-/** Reports of what began just before the end are under way for so long at most, in milliseconds, when nothing is wrong. */
-const SETTLE_MS = 700;
-/** How many windows back a holder begins when none has been closed yet. */
-const FIRST_LOOK_BACK = 4;
+/** Maximum delay of the reports of starts just before a window's end in normal operation, in milliseconds. */
+const MAX_REPORT_DELAY_MS = 700;
+/** Number of past windows that a holder considers when none has been closed yet. */
+const INITIAL_LOOKBACK_WINDOWS = 4;
 
-/** What is left before a report is due for closing its window and sending it, and sending it once more, in milliseconds. */
+/** Time reserved before a report is due for closing its window, sending it and resending it once, in milliseconds. */
 const REPORT_MARGIN_MS = 2_000;
 
 /**
- * How long a window may wait for entries that have not reported.
+ * Computes the maximum time after its end that a window may wait for entries that have not reported.
  *
- * @param dueMs - How long after its end its report is due, in milliseconds.
- * @returns Milliseconds.
+ * @param dueMs - Time after the window's end at which its report is due, in milliseconds.
+ * @returns The wait, in milliseconds.
  * @example
  * windowPatienceMs(10_000); // 8_000
  */
@@ -28,51 +28,53 @@
     return Math.max(0, dueMs - REPORT_MARGIN_MS);
 }
 
-/** What the closer is made of. */
-export interface StartsCloserOptions {
+/** Options of `StartsWindowCloser`. */
+export interface StartsWindowCloserOptions {
     readonly log: ControlLog;
     readonly state: ControlState;
     readonly table: StartsTable;
+    /** Wall time by which windows end. */
     readonly time: TrueTime;
     readonly logger: Logger;
+    /** Length of a window, in milliseconds. */
     readonly windowMs: number;
-    /** How long after its end a window waits for entries that have not reported, in milliseconds. */
-    readonly patienceMs: number;
+    /** Maximum wait after a window's end for entries that have not reported, in milliseconds. */
+    readonly maxReportWaitMs: number;
 }
 
-/** Closes windows of started requests by an entry in the log, which freezes their counts before anything is reported. */
-export class StartsCloser extends HolderTask {
+/** Closes windows of request starts by a log entry, which fixes their counts before anything is reported. */
+export class StartsWindowCloser extends HolderTask {
     readonly name = "starts-closer";
 
-    constructor(private readonly options: StartsCloserOptions) {
+    constructor(private readonly options: StartsWindowCloserOptions) {
         super();
     }
 
     async step(term: HolderTerm): Promise<number> {
         const now = this.options.time.now();
-        for (let window = this.firstOpen(now); this.isDue(window, now); window++) {
+        for (let window = this.findFirstOpenWindow(now); this.isReadyToClose(window, now); window++) {
             if (!term.mayAct()) return PAUSE_MS;
             await this.close(window, now);
         }
         return PAUSE_MS;
     }
 
-    private firstOpen(now: number): number {
+    private findFirstOpenWindow(now: number): number {
         const { state, windowMs } = this.options;
         const { lastClosed } = state.starts;
-        const oldest = Math.floor(now / windowMs) - FIRST_LOOK_BACK;
-        if (lastClosed === undefined) return Math.max(oldest, this.firstCounted());
+        const oldest = Math.floor(now / windowMs) - INITIAL_LOOKBACK_WINDOWS;
+        if (lastClosed === undefined) return Math.max(oldest, this.findFirstCountedWindow());
         return lastClosed + 1;
     }
 
-    private firstCounted(): number {
+    private findFirstCountedWindow(): number {
         const { state, table } = this.options;
         const firsts = [table.counts.firstWindow(), state.openStarts.firstWindow()];
         return Math.min(...firsts.map(first => first ?? Number.POSITIVE_INFINITY));
     }
 
-    /** What was heard here, and what an earlier holder noted of entries that have ended since. */
-    private sum(window: number): StartCounts {
+    /** Sums the counts received here and those recorded in the log by earlier holders, whose entries may have ended since. */
+    private sumCounts(window: number): StartCounts {
         const { state, table } = this.options;
         const all = new RunStarts();
         all.mergeAll(state.openStarts.list());
@@ -80,20 +82,20 @@
         return all.sum(window);
     }
 
-    private isDue(window: number, now: number): boolean {
-        const { table, windowMs, patienceMs } = this.options;
+    private isReadyToClose(window: number, now: number): boolean {
+        const { table, windowMs, maxReportWaitMs } = this.options;
         const end = (window + 1) * windowMs;
-        if (now < end + SETTLE_MS) return false;
-        return now >= end + patienceMs || table.isWhole(end + SETTLE_MS / 2);
+        if (now < end + MAX_REPORT_DELAY_MS) return false;
+        return now >= end + maxReportWaitMs || table.isComplete(end + MAX_REPORT_DELAY_MS / 2);
     }
 
     private async close(window: number, now: number): Promise<void> {
         const { log, table, logger, windowMs } = this.options;
-        const counts = this.sum(window);
+        const counts = this.sumCounts(window);
         const closed = await log.propose({ kind: "starts.close", window, counts });
         const workspaces = Object.keys(counts).length;
         const ageMs = Math.round(now - (window + 1) * windowMs);
-        const whole = table.isWhole((window + 1) * windowMs);
+        const whole = table.isComplete((window + 1) * windowMs);
         logger.info("starts-closed", { window, workspaces, ageMs, whole, committed: closed.isRight() });
     }
 }
--- a/src/control/trpcHttp/index.ts
+++ b/src/control/trpcHttp/index.ts
@@ -2,14 +2,14 @@
 import { fetchRequestHandler } from "@trpc/server/adapters/fetch";
 import { Address, formatAddress, HeaderList, Http, HttpError, HttpHandler, readReplyText } from "../../ports/index.js";
 
-/** Where tRPC procedures stand below a server's root. */
+/** Path prefix of tRPC procedures. */
 const ENDPOINT = "/operate";
 const MAX_BODY_BYTES = 4 * 1024 * 1024;
-const CONNECT_MS = 2_000;
+const CONNECT_TIMEOUT_MS = 2_000;
 const STATUS_TOO_LARGE = 413;
 
 /**
- * Answers a tRPC router's procedures over the Http port.
+ * Creates an HTTP handler that serves a tRPC router's procedures over the `Http` port.
  *
  * @param createContext - Called for each request.
  * @example
@@ -42,18 +42,18 @@
     };
 }
 
-/** The URL that a tRPC link takes for a server. */
+/** Formats the URL of a server for a tRPC link. */
 export function formatTrpcUrl(address: Address): string {
     return `http://${formatAddress(address)}${ENDPOINT}`;
 }
 
-/** What a tRPC link reads of an answer. */
+/** The part of a fetch response that a tRPC link uses. */
 interface FetchReply {
     readonly ok: boolean;
     json(): Promise<unknown>;
 }
 
-/** What a tRPC link sets on a request. */
+/** The part of fetch's request options that a tRPC link sets. */
 interface FetchInit {
     readonly method?: string;
     readonly headers?: unknown;
@@ -61,11 +61,11 @@
 }
 
 /**
- * Lets a tRPC link send over the Http port. Connections are fresh: an operator's call must not hang on one that has gone
- * silent.
+ * Creates a `fetch` function with which a tRPC link sends over the `Http` port. Uses a fresh connection per request, so that an
+ * operator's call doesn't hang on an unresponsive one.
  *
- * @param timeoutMs - How long to wait for an answer, in milliseconds.
- * @returns A function of fetch's form. It throws HttpError when there is no answer.
+ * @param timeoutMs - Timeout for the response head, in milliseconds.
+ * @returns A function compatible with fetch that throws HttpError when there is no response.
  */
 export function createTrpcFetch(
     http: Http,
@@ -82,7 +82,7 @@
             headers: [["host", `${hostname}:${port}`], ...listHeaders(init?.headers), ...length],
             ...body,
             fresh: true,
-            connectTimeoutMs: CONNECT_MS,
+            connectTimeoutMs: CONNECT_TIMEOUT_MS,
             headTimeoutMs: timeoutMs,
         });
         const reply = sent.caseOf({ Left: throwError, Right: given => given });
--- a/src/control/usageReporter/index.ts
+++ b/src/control/usageReporter/index.ts
@@ -1,27 +1,28 @@
 import { Address } from "../../ports/index.js";
 import { PLATFORM_PATHS, UsageReport } from "../../protocol/index.js";
 import { ClosedWindow } from "../../usage/index.js";
+import { ControlState } from "../controlState/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
-import { ControlState } from "../state/index.js";
-import { DueReport, WindowReporter, WindowReporterParts } from "../windowReporter/index.js";
+import { PendingReport, WindowReporter, WindowReporterOptions } from "../windowReporter/index.js";
 
-const PACE = { pauseMs: 250, firstRetryMs: 250, lastRetryMs: 15_000 };
+const TIMING = { pauseMs: 250, firstRetryMs: 250, lastRetryMs: 15_000 };
 
-/** What the reporter is made of. */
-export interface UsageReporterOptions extends WindowReporterParts {
+/** Options of `UsageReporter`. */
+export interface UsageReporterOptions extends WindowReporterOptions {
     readonly state: ControlState;
+    /** Address of the platform's API. */
     readonly platform: Address;
 }
 
-/** Reports closed windows of usage, each under the report id that the log gave it. */
+/** Reports closed usage windows to the platform, each under the report id that the log assigned to it. */
 export class UsageReporter extends WindowReporter {
     readonly name = "usage-report";
 
     constructor(private readonly options: UsageReporterOptions) {
-        super(options, PACE);
+        super(options, TIMING);
     }
 
-    protected listDue(term: HolderTerm): readonly DueReport[] {
+    protected listPending(term: HolderTerm): readonly PendingReport[] {
         const { state, platform } = this.options;
         return state.usage.listUnreported().map(closed => ({
             name: closed.reportId,
--- a/src/control/windowCloser/index.ts
+++ b/src/control/usageWindowCloser/index.ts
@@ -1,27 +1,27 @@
 import { ControlLog } from "../../consensus/index.js";
 import { Clock } from "../../ports/index.js";
+import { ControlState } from "../controlState/index.js";
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
-import { ControlState } from "../state/index.js";
 
-const LONGEST_PAUSE_MS = 1_000;
+const MAX_PAUSE_MS = 1_000;
 
-/** What the closer is made of. */
-export interface WindowCloserOptions {
+/** Options of `UsageWindowCloser`. */
+export interface UsageWindowCloserOptions {
     readonly log: ControlLog;
     readonly state: ControlState;
     readonly clock: Clock;
-    /** A usage window's length, in milliseconds. */
+    /** Length of a usage window, in milliseconds. */
     readonly windowMs: number;
-    /** How long after its end a window still takes usage, in milliseconds; what comes later is an adjustment. */
+    /** How long after its end a window still accepts usage, in milliseconds; later usage becomes an adjustment. */
     readonly graceMs: number;
 }
 
-/** Closes usage windows that have ended, by an entry in the log that freezes their figures. */
-export class WindowCloser extends HolderTask {
+/** Closes usage windows that have ended by a log entry, which fixes their sums. */
+export class UsageWindowCloser extends HolderTask {
     readonly name = "window-closer";
 
-    constructor(private readonly options: WindowCloserOptions) {
+    constructor(private readonly options: UsageWindowCloserOptions) {
         super();
     }
 
@@ -30,9 +30,9 @@
         const lastEnded = clock.now() - windowMs - graceMs;
         const ended = state.usage.listOpenStarts().filter(window => window <= lastEnded);
         for (const window of ended) {
-            // A lost proposal is made again at the next step; closing twice changes nothing.
+            // A lost proposal is repeated in the next step; closing a window twice changes nothing.
             if (term.mayAct()) await log.propose({ kind: "usage.close", window, windowMs });
         }
-        return Math.min(LONGEST_PAUSE_MS, windowMs / 10);
+        return Math.min(MAX_PAUSE_MS, windowMs / 10);
     }
 }
--- a/src/control/view/index.ts
+++ b/src/control/view/index.ts
@@ -3,27 +3,27 @@
 import { FleetDocument } from "../../routing/index.js";
 import { KeyView, WorkspaceView } from "../../workspace/index.js";
 
-/** What workspaces of one template with equal parameters have in common. */
+/** The properties shared by all workspaces of one template with equal parameters. */
 export type ProfileView = Omit<WorkspaceView, "id" | "tokenLimit">;
 
 /**
- * Workspaces and keys in columns: each profile stands once, and a hash takes its 32 bytes. A full view of 40,000 workspaces then
- * takes a fraction of the bytes, and of the memory of its reader.
+ * Workspaces and keys in columns: each profile is stored once, and a hash takes 32 bytes. This reduces the size of a full view of
+ * 40,000 workspaces to a fraction, and the memory that its receiver needs.
  */
 export interface PackedViews {
     readonly profiles: readonly ProfileView[];
     readonly ids: readonly WorkspaceId[];
     /** For each id, the index of its profile. */
     readonly profileOf: readonly number[];
-    /** For each id, its token limit; -1 for none. */
+    /** For each id, its token limit; -1 for no limit. */
     readonly tokenLimits: readonly number[];
-    /** The keys' hashes, one after the other. */
+    /** The keys' hashes, concatenated. */
     readonly hashes: Uint8Array;
-    /** For each hash, the workspace that it opens. */
+    /** For each hash, the workspace to which the key gives access. */
     readonly workspaceOf: readonly WorkspaceId[];
 }
 
-/** What changed since a revision; with `full`, everything there is. */
+/** The changes since a revision; with `full`, the complete view. */
 export interface ViewChange {
     readonly full: boolean;
     readonly revision: Revision;
@@ -31,20 +31,20 @@
     readonly removedWorkspaces: readonly WorkspaceId[];
     readonly keys: readonly KeyView[];
     readonly withdrawnKeys: readonly KeyHash[];
-    /** In place of `workspaces` and `keys`, for entries that take it. */
+    /** Replaces `workspaces` and `keys` for entries that support it. */
     readonly packed?: PackedViews;
-    /** The fleet document, when it is newer than the revision asked from. */
+    /** The fleet document, if it is newer than the requested revision. */
     readonly document?: FleetDocument;
-    /** All evacuated zones, when they have changed since the revision asked from. */
+    /** All evacuated zones, if they have changed since the requested revision. */
     readonly evacuatedZones?: readonly ZoneId[];
-    /** All quarantined requests, when they have changed since the revision asked from. */
+    /** All quarantined requests, if they have changed since the requested revision. */
     readonly quarantined?: readonly QuarantinedRequest[];
 }
 
-/** The method by which an entry asks the holder for changes and renews its freshness lease. */
+/** Peer method by which an entry pulls changes from the holder and renews its freshness lease. */
 export const VIEW_PULL_METHOD = "view.pull";
 
-/** An entry's question: what changed since `revision`? The holder keeps it waiting up to `waitMs` for a change. */
+/** An entry's request for the changes since `revision`: a long poll that waits up to `waitMs` for a change. */
 export interface ViewPull {
     readonly host: string;
     readonly incarnation: string;
@@ -53,25 +53,26 @@
     readonly peerAddress: string;
     /** `IP:port` of the entry's listener for operators. */
     readonly adminAddress?: string;
-    /** The revision the entry has in force; 0 for none. */
+    /** The revision that the entry uses; 0 for none. */
     readonly revision: number;
+    /** Maximum wait for a change, in milliseconds. */
     readonly waitMs: number;
-    /** The entry is about to stop: no new tickets should go to it. */
+    /** The entry is about to stop: no new tickets should be sent to it. */
     readonly draining: boolean;
-    /** It is there to own the queues of pools, and serves no callers. */
+    /** It only owns queues of pools and serves no callers. */
     readonly ownsQueues?: boolean;
-    /** The entry reads `ViewChange.packed`. */
+    /** The entry supports `ViewChange.packed`. */
     readonly takesPacked?: boolean;
-    /** `entriesVersion` of the last answer: the holder then leaves out a list of entries that is still the same. */
+    /** `entriesVersion` of the last reply: the holder omits the list of entries if it is unchanged. */
     readonly entriesVersion?: string;
-    /** The entry reads `ViewPullReply.entriesChanged`. */
+    /** The entry supports `ViewPullReply.entriesChanged`. */
     readonly takesEntryChanges?: boolean;
 }
 
-/** One run of an entry that has ended. */
-export type GoneEntry = Pick<EntryView, "host" | "incarnation">;
+/** Identifies one run of an entry process. */
+export type EntryRunId = Pick<EntryView, "host" | "incarnation">;
 
-/** Another entry, as the holder knows it from its pulls. */
+/** An entry process as known to the holder from its pulls. */
 export interface EntryView {
     readonly host: string;
     readonly incarnation: string;
@@ -79,24 +80,26 @@
     readonly peerAddress: string;
     readonly adminAddress?: string;
     readonly draining: boolean;
-    /** It is there to own the queues of pools, and serves no callers. */
+    /** It only owns queues of pools and serves no callers. */
     readonly ownsQueues?: boolean;
 }
 
-/** The holder's answer. The lease runs from the moment the pull left the entry. */
+/** The holder's reply. The lease is counted from when the entry sent the pull. */
 export interface ViewPullReply {
     readonly change?: ViewChange;
+    /** Freshness lease of the view, in milliseconds. */
     readonly leaseMs: number;
-    /** The entries that the holder has heard from lately; empty with `entriesUnchanged`. */
+    /** The live entries known to the holder; empty with `entriesUnchanged`. */
     readonly entries: readonly EntryView[];
+    /** Version of the list of entries. */
     readonly entriesVersion?: string;
-    /** `entries` has only those that have changed since the version that the entry has, and `goneEntries` those that left. */
+    /** `entries` holds only those changed since the version that the puller has, and `goneEntries` those that left. */
     readonly entriesChanged?: boolean;
-    readonly goneEntries?: readonly GoneEntry[];
-    /** The holder is new and may not have heard of all: entries that are not in the list may be there all the same. */
+    readonly goneEntries?: readonly EntryRunId[];
+    /** The holder is new and may not have received a pull from every entry: entries missing from the list may still be live. */
     readonly entriesPartial?: boolean;
-    /** The list is the one of `entriesVersion`, which the entry has. */
+    /** The list is unchanged since the `entriesVersion` that the entry has. */
     readonly entriesUnchanged?: boolean;
-    /** `IP:port` of the control processes, as the control log has them. */
+    /** `IP:port` of the control processes that are members of the control log. */
     readonly controls?: readonly string[];
 }
--- a/src/control/viewCache/index.ts
+++ b/src/control/viewCache/index.ts
@@ -5,12 +5,12 @@
 import { HASH_BYTES, NO_LIMIT, packChange, packHash } from "../packedView/index.js";
 import { PackedViews, ProfileView, ViewChange } from "../view/index.js";
 
-/** Beyond this many the table of shared profiles starts anew; what is shared already stays so. */
-const MOST_SHARED = 4_096;
+/** Maximum size of the profile table; beyond it the table is cleared, while existing workspaces keep their shared profiles. */
+const MAX_SHARED_PROFILES = 4_096;
 
 /**
- * An entry's view of workspaces and keys. A workspace costs one entry of a map, its profile is shared with others, and a key costs
- * one entry of a map, so that 40,000 workspaces fit beside the rest of a process.
+ * An entry's view of workspaces, keys, fleet document, zones and quarantined requests. A workspace and a key take one map entry each
+ * and profiles are shared, so that 40,000 workspaces fit into a process's memory beside everything else.
  *
  * @example
  * const workspace = cache.findByKey(hashKey(token));
@@ -19,30 +19,30 @@
     private workspaces = new Map<WorkspaceId, ProfileView>();
     private tokenLimits = new Map<WorkspaceId, number>();
     private keys = new Map<string, WorkspaceId>();
-    private readonly shared = new Map<string, ProfileView>();
-    private latest = 0;
-    private table: RouteTable | undefined;
+    private readonly sharedProfiles = new Map<string, ProfileView>();
+    private latestRevision = 0;
+    private routeTable: RouteTable | undefined;
     private evacuated: readonly ZoneId[] = [];
-    private heldRequests: ReadonlyMap<RequestFingerprint, QuarantinedRequest> = new Map();
+    private quarantinedRequests: ReadonlyMap<RequestFingerprint, QuarantinedRequest> = new Map();
 
-    /** The revision in force here; 0 before the first view. */
+    /** Revision of the view; 0 before the first one. */
     get revision(): Revision {
-        return this.latest as Revision;
+        return this.latestRevision as Revision;
     }
 
-    /** The fleet document in force here; undefined before the first. */
+    /** Routes of the fleet document; undefined before the first document. */
     get routes(): RouteTable | undefined {
-        return this.table;
+        return this.routeTable;
     }
 
-    /** The zones whose upstreams get nothing. */
+    /** Evacuated zones, whose upstreams get no work. */
     get evacuatedZones(): readonly ZoneId[] {
         return this.evacuated;
     }
 
-    /** The requests that must not run, by their fingerprints. */
+    /** Quarantined requests, which must not run, by fingerprint. */
     get quarantined(): ReadonlyMap<RequestFingerprint, QuarantinedRequest> {
-        return this.heldRequests;
+        return this.quarantinedRequests;
     }
 
     get workspaceCount(): number {
@@ -54,27 +54,26 @@
     }
 
     /**
-     * Takes in a change. One of a lower revision is dropped: an answer that was held up in the network must not bring a withdrawn key
-     * back.
+     * Applies a change. A change of a lower revision is dropped, so that a reply delayed in the network can't restore a withdrawn key.
      *
-     * @returns Whether it was taken.
+     * @returns Whether it was applied.
      */
     apply(change: ViewChange): boolean {
-        if (change.revision < this.latest) return false;
+        if (change.revision < this.latestRevision) return false;
         if (change.full) this.clear();
         for (const id of change.removedWorkspaces) this.removeWorkspace(id);
         for (const hash of change.withdrawnKeys) this.keys.delete(packHash(hash));
         const packed = change.packed ?? packChange(change).packed!;
-        this.keepWorkspaces(packed);
-        this.keepKeys(packed);
-        if (change.document) this.table = new RouteTable(change.document);
+        this.storeWorkspaces(packed);
+        this.storeKeys(packed);
+        if (change.document) this.routeTable = new RouteTable(change.document);
         if (change.evacuatedZones) this.evacuated = change.evacuatedZones;
-        if (change.quarantined) this.heldRequests = mapByFingerprint(change.quarantined);
-        this.latest = change.revision;
+        if (change.quarantined) this.quarantinedRequests = mapByFingerprint(change.quarantined);
+        this.latestRevision = change.revision;
         return true;
     }
 
-    /** The workspace whose key has this hash; undefined when none has, or not any more. */
+    /** Returns the workspace of the key with this hash; undefined when the key is unknown or withdrawn. */
     findByKey(hash: KeyHash): WorkspaceView | undefined {
         const id = this.keys.get(packHash(hash));
         return id === undefined ? undefined : this.findWorkspace(id);
@@ -97,28 +96,28 @@
         this.tokenLimits.delete(id);
     }
 
-    private keepWorkspaces({ profiles, ids, profileOf, tokenLimits }: PackedViews): void {
-        const kept = profiles.map(profile => this.share(profile));
+    private storeWorkspaces({ profiles, ids, profileOf, tokenLimits }: PackedViews): void {
+        const interned = profiles.map(profile => this.internProfile(profile));
         ids.forEach((id, at) => {
-            this.workspaces.set(id, kept[profileOf[at]]);
+            this.workspaces.set(id, interned[profileOf[at]]);
             if (tokenLimits[at] === NO_LIMIT) this.tokenLimits.delete(id);
             else this.tokenLimits.set(id, tokenLimits[at]);
         });
     }
 
-    private keepKeys({ hashes, workspaceOf }: PackedViews): void {
+    private storeKeys({ hashes, workspaceOf }: PackedViews): void {
         const bytes = Buffer.from(hashes.buffer, hashes.byteOffset, hashes.length);
         workspaceOf.forEach((workspace, at) => {
             this.keys.set(bytes.toString("latin1", at * HASH_BYTES, (at + 1) * HASH_BYTES), workspace);
         });
     }
 
-    private share(profile: ProfileView): ProfileView {
-        if (this.shared.size > MOST_SHARED) this.shared.clear();
+    private internProfile(profile: ProfileView): ProfileView {
+        if (this.sharedProfiles.size > MAX_SHARED_PROFILES) this.sharedProfiles.clear();
         const text = JSON.stringify(profile);
-        const known = this.shared.get(text);
+        const known = this.sharedProfiles.get(text);
         if (known) return known;
-        this.shared.set(text, profile);
+        this.sharedProfiles.set(text, profile);
         return profile;
     }
 }
--- a/src/control/viewHistory/index.ts
+++ b/src/control/viewHistory/index.ts
@@ -2,8 +2,8 @@
 import { TouchedViews, WorkspaceRegistry } from "../../workspace/index.js";
 import { ViewChange } from "../view/index.js";
 
-/** How many touched workspaces and keys are remembered; an entry further behind gets everything. */
-const MOST_TOUCHED = 20_000;
+/** Maximum number of remembered touched workspaces and keys; an entry that is further behind gets the full view. */
+const MAX_TOUCHED = 20_000;
 
 interface Step {
     readonly revision: Revision;
@@ -11,40 +11,41 @@
 }
 
 /**
- * Which workspaces and keys the latest changes touched. What they look like is read when an entry asks, so
- * that a delta is never older than the registry.
+ * Records which workspaces and keys the latest changes touched. Their contents are read from the registry when an entry pulls, so that a
+ * delta is never older than the registry.
  *
  * @example
- * history.note(registry.revision, touched);
+ * history.record(registry.revision, touched);
  */
 export class ViewHistory {
     private steps: Step[] = [];
     private size = 0;
-    /** Changes after this revision are remembered. */
-    private from = 0;
+    /** All changes after this revision are remembered. */
+    private minRevision = 0;
 
-    /** Forgets all: after a snapshot was restored, what led to it is not known. */
+    /** Clears the history after a snapshot was restored, whose earlier changes are unknown. */
     restart(revision: Revision): void {
         this.steps = [];
         this.size = 0;
-        this.from = revision;
+        this.minRevision = revision;
     }
 
-    note(revision: Revision, touched: TouchedViews): void {
+    /** Records the workspaces and keys that a change touched. */
+    record(revision: Revision, touched: TouchedViews): void {
         this.steps.push({ revision, touched });
         this.size += countTouched(touched);
         let dropped = 0;
-        while (this.size > MOST_TOUCHED) {
+        while (this.size > MAX_TOUCHED) {
             const oldest = this.steps[dropped++];
             this.size -= countTouched(oldest.touched);
-            this.from = oldest.revision;
+            this.minRevision = oldest.revision;
         }
         if (dropped > 0) this.steps.splice(0, dropped);
     }
 
-    /** What changed since a revision. */
+    /** Returns the changes since a revision; the full view when the history doesn't go back that far. */
     changeSince(revision: number, registry: WorkspaceRegistry): ViewChange {
-        if (revision === 0 || revision < this.from || revision > registry.revision) return describeAll(registry);
+        if (revision === 0 || revision < this.minRevision || revision > registry.revision) return buildFull(registry);
         const first = this.findFirstAfter(revision);
         const workspaces = new Set<WorkspaceId>();
         const keys = new Set<KeyHash>();
@@ -52,7 +53,7 @@
             for (const id of touched.workspaces) workspaces.add(id);
             for (const hash of touched.keys) keys.add(hash);
         }
-        return describeTouched([...workspaces], [...keys], registry);
+        return buildDelta([...workspaces], [...keys], registry);
     }
 
     private findFirstAfter(revision: number): number {
@@ -66,7 +67,7 @@
     return 1 + workspaces.length + keys.length;
 }
 
-function describeAll(registry: WorkspaceRegistry): ViewChange {
+function buildFull(registry: WorkspaceRegistry): ViewChange {
     return {
         full: true,
         revision: registry.revision,
@@ -77,7 +78,7 @@
     };
 }
 
-function describeTouched(workspaces: WorkspaceId[], keys: KeyHash[], registry: WorkspaceRegistry): ViewChange {
+function buildDelta(workspaces: WorkspaceId[], keys: KeyHash[], registry: WorkspaceRegistry): ViewChange {
     return {
         full: false,
         revision: registry.revision,
--- a/src/control/viewHistory/test.ts
+++ b/src/control/viewHistory/test.ts
@@ -43,7 +43,7 @@
     return { kind: "key.withdraw", keyId: key.id };
 }
 
-/** What an entry lets in: for each key, the workspace that it opens. */
+/** Lists the workspace to which each key gives access in a cache. */
 function listAccess(cache: ViewCache): unknown[] {
     return KEYS.map(({ hash }) => cache.findByKey(hash as KeyHash));
 }
@@ -66,7 +66,7 @@
             const change = decodeValue(encodeValue(which % 2 === 0 ? packChange(plain) : plain)) as ViewChange;
             cache.apply(change);
             held.push(change);
-            // An answer from long before, held up in the network.
+            // An old reply that was delayed in the network.
             if (stale) cache.apply(held[which % held.length]);
             const fresh = new ViewCache();
             fresh.apply(state.changeSince(0));
@@ -83,8 +83,8 @@
 }
 
 describe("ViewHistory", () => {
-    describe("any order of changes, pulls, held-up answers, restarts", () => {
-        it("gives an entry by deltas what a full view gives, and no withdrawn key", () => {
+    describe("any order of changes, pulls, delayed replies and restarts", () => {
+        it("provides the same access by deltas as a full view, and none by withdrawn keys", () => {
             fc.assert(fc.property(fc.array(step, { maxLength: 60 }), checkSchedule), { numRuns: 1_000, seed: 21 });
         });
     });
--- a/src/control/windowReporter/index.ts
+++ b/src/control/windowReporter/index.ts
@@ -4,63 +4,68 @@
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 
-/** What a reporter of windows works with. */
-export interface WindowReporterParts {
+/** Options of a `WindowReporter`. */
+export interface WindowReporterOptions {
     readonly log: ControlLog;
     readonly sender: FencedSender;
     readonly logger: Logger;
-    /** The platform refuses reports with an old fencing token. */
+    /** The platform refuses reports with an outdated fencing token. */
     readonly platformChecksFence: boolean;
 }
 
-/** When a reporter looks again, in milliseconds. */
-export interface WindowReporterPace {
+/** Delays of a reporter, in milliseconds. */
+export interface WindowReporterTiming {
+    /** Interval between checks for pending reports. */
     readonly pauseMs: number;
-    /** After a report that was not taken; each further one doubles it. */
+    /** Delay after a report that was not accepted; doubled with each further one. */
     readonly firstRetryMs: number;
+    /** Upper limit of the doubled delay. */
     readonly lastRetryMs: number;
 }
 
-/** A closed window on its way to the platform. */
-export interface DueReport {
-    /** Names the window in log lines. */
+/** A report of a closed window that the platform has not confirmed yet. */
+export interface PendingReport {
+    /** Identifies the window in log lines. */
     readonly name: string | number;
     readonly call: FencedCall;
-    /** What the log takes once the platform has it. */
+    /** Command proposed to the control log once the platform has accepted the report. */
     readonly confirmation: unknown;
 }
 
 /**
- * Sends closed windows to the platform, the oldest first, until it confirms each.
+ * Sends closed windows to the platform, oldest first, until it confirms each.
  *
- * Guards against a window reported with two figures: what is sent comes from the closed window in the log, so a resend, also
- * a successor's, is equal to the first send byte for byte but for the fencing token.
+ * Prevents a window from being reported with two different sums: reports are built from the closed window in the log, so a resend,
+ * including one by a later holder, is byte for byte equal to the first one except for the fencing token.
  */
 export abstract class WindowReporter extends HolderTask {
-    private retryMs: number;
+    private retryDelayMs: number;
 
-    constructor(private readonly parts: WindowReporterParts, private readonly pace: WindowReporterPace) {
+    constructor(
+        private readonly reporterOptions: WindowReporterOptions,
+        private readonly timing: WindowReporterTiming,
+    ) {
         super();
-        this.retryMs = pace.firstRetryMs;
+        this.retryDelayMs = timing.firstRetryMs;
     }
 
-    /** The windows that the platform has not confirmed, the oldest first. */
-    protected abstract listDue(term: HolderTerm): readonly DueReport[];
+    /** Lists the reports that the platform has not confirmed, oldest first. */
+    protected abstract listPending(term: HolderTerm): readonly PendingReport[];
 
     async step(term: HolderTerm): Promise<number> {
-        const { pauseMs, firstRetryMs } = this.pace;
-        for (const due of this.listDue(term)) {
-            if (!term.maySend(this.parts.platformChecksFence)) return pauseMs;
-            const retryAfterMs = await this.report(due, term);
+        const { pauseMs, firstRetryMs } = this.timing;
+        for (const pending of this.listPending(term)) {
+            if (!term.maySend(this.reporterOptions.platformChecksFence)) return pauseMs;
+            const retryAfterMs = await this.report(pending, term);
             if (retryAfterMs !== undefined) return retryAfterMs;
-            this.retryMs = firstRetryMs;
+            this.retryDelayMs = firstRetryMs;
         }
         return pauseMs;
     }
 
-    /** @returns When to try again, in milliseconds; undefined when the platform has the report. */
-    private async report({ name, call, confirmation }: DueReport, term: HolderTerm): Promise<number | undefined> {
-        const { log, sender, logger, platformChecksFence } = this.parts;
+    /** @returns Delay until the next attempt, in milliseconds; undefined when the platform has accepted the report. */
+    private async report({ name, call, confirmation }: PendingReport, term: HolderTerm): Promise<number | undefined> {
+        const { log, sender, logger, platformChecksFence } = this.reporterOptions;
         const { token } = term;
         const sent = await sender.send(call, () => term.maySend(platformChecksFence));
         const reply = sent.toMaybe().extract();
@@ -71,12 +76,12 @@
         }
         const problem = sent.caseOf({ Left: err => err.message, Right: ({ status }) => `status ${status}` });
         logger.warn(`${this.name}-not-taken`, { window: name, token, problem });
-        return reply?.retryAfterMs ?? this.growRetry();
+        return reply?.retryAfterMs ?? this.increaseRetryDelay();
     }
 
-    private growRetry(): number {
-        const { retryMs } = this;
-        this.retryMs = Math.min(retryMs * 2, this.pace.lastRetryMs);
+    private increaseRetryDelay(): number {
+        const { retryDelayMs: retryMs } = this;
+        this.retryDelayMs = Math.min(retryMs * 2, this.timing.lastRetryMs);
         return retryMs;
     }
 }
--- a/src/control/zoneEvacuation/index.ts
+++ b/src/control/zoneEvacuation/index.ts
@@ -4,42 +4,42 @@
 import { Logger } from "../../logging/index.js";
 import { EvacuatedZone, ZoneCommand, ZoneResult } from "../../zone/index.js";
 import { readThroughLog } from "../_lib/readThroughLog.js";
+import { ControlState } from "../controlState/index.js";
 import { ChangeUnavailableError, DurableChange, DurableChangeOptions } from "../durableChange/index.js";
-import { ControlState } from "../state/index.js";
 
-/** Hands an order for a zone to the holder; the body is a `ZoneCommand`. */
+/** Peer method that forwards a zone command to the holder; the body is a `ZoneCommand`. */
 const ZONE_METHOD = "control.zone";
 
-/** An order for a zone that settings don't name. */
+/** The command names a zone that is not in the settings. */
 export class UnknownZoneError extends Error {}
 
-/** What evacuations are made through. */
+/** Options of `ZoneEvacuation`. */
 export interface ZoneEvacuationOptions extends DurableChangeOptions {
     readonly log: DurableChangeOptions["log"] & Pick<ReplicatedLog, "readBarrier">;
     readonly state: ControlState;
     readonly logger: Logger;
-    /** The zones that may be evacuated; undefined: any. */
+    /** Zones that may be evacuated; undefined: any. */
     readonly zones: readonly ZoneId[] | undefined;
 }
 
 /**
- * Evacuates and restores availability zones, at any control process. The last zone may be evacuated too: its operator wants it so, and
- * calls are refused until a zone is back.
+ * Evacuates and restores availability zones; works at any control process. The last zone may be evacuated too, if the operator orders it:
+ * calls are then refused until a zone is restored.
  *
  * @example
  * const outcome = await evacuation.order({ kind: "zone.evacuate", zone });
  */
 export class ZoneEvacuation {
-    private readonly change: DurableChange<ZoneCommand, ZoneResult>;
+    private readonly submitter: DurableChange<ZoneCommand, ZoneResult>;
 
     constructor(private readonly options: ZoneEvacuationOptions) {
-        this.change = new DurableChange(options, { method: ZONE_METHOD });
+        this.submitter = new DurableChange(options, { method: ZONE_METHOD });
     }
 
     /**
      * Evacuates or restores a zone.
      *
-     * @returns Once it is committed; on the left, when that is not known or the zone is not.
+     * @returns The result once it is committed; an error when the commit is not confirmed or the zone is unknown.
      */
     async order(command: ZoneCommand): Promise<Either<ChangeUnavailableError | UnknownZoneError, ZoneResult>> {
         const { logger, zones } = this.options;
@@ -48,16 +48,16 @@
             logger.warn("zone-order-refused", { kind, zone, problem: "no such zone" });
             return Left(new UnknownZoneError(`there is no zone ${zone}`));
         }
-        const outcome = await this.change.make(command);
+        const outcome = await this.submitter.submit(command);
         return outcome
             .ifRight(({ state, revision }) => logger.info("zone-order-taken", { kind, zone, state, revision }))
             .ifLeft(err => logger.warn("zone-order-not-taken", { kind, zone, problem: err.message }));
     }
 
     /**
-     * Reads which zones are evacuated.
+     * Reads the evacuated zones.
      *
-     * @returns On the left, when this process can't be sure.
+     * @returns The zones; an error when this process can't confirm that its state is up to date.
      */
     read(): Promise<Either<ChangeUnavailableError, readonly EvacuatedZone[]>> {
         const { log, state } = this.options;
--- a/src/control/zoneEvacuation/test.ts
+++ b/src/control/zoneEvacuation/test.ts
@@ -21,7 +21,7 @@
         return started;
     }
 
-    /** Which zones' upstreams answer some calls, through both entries. */
+    /** Returns the zones whose upstreams answer calls sent through both entries. */
     async function listServing(running: RoutedFleet, calls = 12): Promise<string[]> {
         const zones = new Set<string>();
         for (let call = 0; call < calls; call++) {
@@ -39,7 +39,7 @@
 
     afterEach(() => fleet.running?.close());
 
-    it("keeps calls from its upstreams until it is restored, ordered at any control process", async () => {
+    it("keeps calls away from its upstreams until it is restored, ordered at any control process", async () => {
         const running = await startFleet();
         assert.ok((await listServing(running)).includes("vogar"));
         for (const through of [0, 1, 2, 3, 4]) {
@@ -68,7 +68,7 @@
         assert.deepEqual(await readZones(running, 0), []);
     });
 
-    it("refuses calls truthfully when the last zone is evacuated, and serves them again after", async () => {
+    it("refuses calls when the last zone is evacuated, and serves them after its restoration", async () => {
         const running = await startFleet();
         assert.equal(await running.orderZone("zone.evacuate", "vogar"), true);
         assert.equal(await running.orderZone("zone.evacuate", "keflavik"), true);
@@ -79,8 +79,8 @@
         assert.deepEqual(await listServing(running), ["keflavik"]);
     });
 
-    it("outlives the loss of two disks in the moment after its acknowledgement, while all others lose power", async () => {
-        // Guards against an evacuation that a majority of empty and outdated disks forgets.
+    it("survives the loss of two disks right after its acknowledgement, while all others lose power", async () => {
+        // Guards against an acknowledged evacuation that is lost to a majority of empty and outdated disks.
         const running = await startFleet();
         assert.equal(await running.orderZone("zone.evacuate", "vogar", 1), true);
         for (const number of [0, 1, 2, 3, 4]) await running.killControl(number);
@@ -95,7 +95,7 @@
     });
 
     it("binds an entry that restarts, and a new owner of the queue", async () => {
-        // Guards against a new process that sends to an evacuated zone before it has heard of the order.
+        // Guards against a new process that sends to an evacuated zone before it has received the order.
         const running = await startFleet();
         assert.equal(await running.orderZone("zone.evacuate", "vogar"), true);
         await running.killEntry(1);
@@ -104,8 +104,8 @@
         assert.deepEqual(await listServing(running), ["keflavik"]);
     });
 
-    it("stops keyed calls at an entry that can't learn of it before its bound", async () => {
-        // Guards against an entry that is cut off from the control processes and goes on sending to the zone.
+    it("stops keyed calls at a partitioned entry once its view is stale", async () => {
+        // Guards against an entry that is partitioned from the control processes and keeps sending to the zone.
         const running = await startFleet();
         const controls = [0, 1, 2, 3, 4].map(number => `10.0.0.${number + 1}`);
         running.fabric.isolate("10.0.1.2", [...controls, "10.0.1.1"], true);
@@ -117,8 +117,8 @@
         assert.equal(running.upstreams.flatMap(({ runs }) => runs).length, before);
     });
 
-    it("holds by the last acknowledged order over any series of orders, kills and changes of the holder", async () => {
-        // Guards against an order that is lost, or comes back after the one that took it back.
+    it("follows the last acknowledged order over any series of orders, kills and changes of the holder", async () => {
+        // Guards against an order that is lost, or that takes effect again after its reversal.
         const order = fc.record({
             kind: fc.constantFrom<ZoneCommand["kind"]>("zone.evacuate", "zone.restore"),
             zone: fc.constantFrom("vogar", "keflavik"),
