--- a/src/control/controlClient/index.ts
+++ b/src/control/controlClient/index.ts
@@ -228,9 +228,9 @@
     /** Switches to the link of a host. Returns false when there is no open link to it or it is the current one. */
     private switchToHost(holder: string | undefined): boolean {
         const { links } = this.options;
-        const at = links.findIndex(link => link.isOpen && link.peer?.host === holder);
-        if (at < 0 || links[at] === this.currentLink()) return false;
-        this.linkIndex = at;
+        const index = links.findIndex(link => link.isOpen && link.peer?.host === holder);
+        if (index < 0 || links[index] === this.currentLink()) return false;
+        this.linkIndex = index;
         return true;
     }
 
--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -115,7 +115,7 @@
     }
 
     /** Measures the time until a change is in force, in milliseconds; undefined when it exceeds the limit. */
-    async timeToForce(host: HostId, revision: number, limitMs: number): Promise<number | undefined> {
+    async measureTimeToForce(host: HostId, revision: number, limitMs: number): Promise<number | undefined> {
         const from = this.clock.monotonic();
         const done = this.services.get(host)!.awaitInForce(revision, limitMs);
         const inForce = await this.clock.runUntil(done, limitMs + 1_000);
@@ -136,7 +136,7 @@
             assert.ok(client.isFresh());
             assert.equal(cache.findByKey(HASH)?.id, "school");
             const revision = await fleet.change(FIRST, WITHDRAW);
-            const took = await fleet.timeToForce(FIRST, revision, 6_000);
+            const took = await fleet.measureTimeToForce(FIRST, revision, 6_000);
             assert.ok(took !== undefined && took <= 50, `${took} ms`);
             assert.equal(cache.findByKey(HASH), undefined);
         });
@@ -149,9 +149,9 @@
             await fleet.clock.advance(6_000);
             fleet.fabric.isolate("e1", [FIRST, SECOND], true);
             const revision = await fleet.change(FIRST, WITHDRAW);
-            assert.equal(await fleet.timeToForce(FIRST, revision, 2_000), undefined);
+            assert.equal(await fleet.measureTimeToForce(FIRST, revision, 2_000), undefined);
             assert.ok(cache.findByKey(HASH), "still in its view");
-            const took = await fleet.timeToForce(FIRST, revision, 6_000);
+            const took = await fleet.measureTimeToForce(FIRST, revision, 6_000);
             assert.ok(took !== undefined && took <= LEASE_MS, `${took} ms`);
             assert.ok(!client.isFresh(), "it takes no new work on that view");
         });
@@ -164,7 +164,7 @@
             fleet.fabric.isolate("e1", [FIRST, SECOND], true);
             fleet.group.elect(SECOND);
             const revision = await fleet.change(SECOND, WITHDRAW);
-            const took = await fleet.timeToForce(SECOND, revision, 7_000);
+            const took = await fleet.measureTimeToForce(SECOND, revision, 7_000);
             assert.ok(took !== undefined && took >= LEASE_MS - 2_100, `${took} ms`);
             assert.ok(!client.isFresh());
         });
@@ -280,19 +280,19 @@
         it("receive the holder's list after any joins, losses, drains and changes of the holder", async () => {
             const fleet = await new Fleet().start();
             const random = new SeededRandom(5);
-            const watcher = fleet.startEntry("e0");
-            const clients = new Map([["e0", watcher.client]]);
-            const cutOff = new Set<string>();
+            const observer = fleet.startEntry("e0");
+            const clients = new Map([["e0", observer.client]]);
+            const isolated = new Set<string>();
             for (let step = 0; step < 120; step++) {
                 const host = `e${random.integer(1, 8)}`;
-                const act = random.pick(["join", "cut", "cut", "drain", "elect"]);
-                if (act === "join" && !clients.has(host)) clients.set(host, fleet.startEntry(host).client);
-                if (act === "cut" && clients.has(host)) {
-                    fleet.fabric.isolate(host, [FIRST, SECOND], !cutOff.has(host));
-                    if (!cutOff.delete(host)) cutOff.add(host);
+                const action = random.pick(["join", "cut", "cut", "drain", "elect"]);
+                if (action === "join" && !clients.has(host)) clients.set(host, fleet.startEntry(host).client);
+                if (action === "cut" && clients.has(host)) {
+                    fleet.fabric.isolate(host, [FIRST, SECOND], !isolated.has(host));
+                    if (!isolated.delete(host)) isolated.add(host);
                 }
-                if (act === "drain") clients.get(host)?.setDraining(random.next() < 0.5);
-                if (act === "elect" && step % 8 === 0) fleet.group.elect(random.pick([FIRST, SECOND]));
+                if (action === "drain") clients.get(host)?.setDraining(random.next() < 0.5);
+                if (action === "elect" && step % 8 === 0) fleet.group.elect(random.pick([FIRST, SECOND]));
                 await fleet.clock.advance(random.between(100, 4_000));
                 const { entries } = fleet.services.get(fleet.group.holder!)!;
                 if (!entries.isComplete) continue;
@@ -300,7 +300,7 @@
                 // Each entry receives the list with its next reply, at most a third of a lease later.
                 await fleet.clock.advance(2_000);
                 if (JSON.stringify(entries.listLive()) !== JSON.stringify(list)) continue;
-                assert.deepEqual(sortByHost(watcher.client.entries), sortByHost(list));
+                assert.deepEqual(sortByHost(observer.client.entries), sortByHost(list));
             }
         });
 
--- a/src/control/controlLinkSet/index.ts
+++ b/src/control/controlLinkSet/index.ts
@@ -71,8 +71,8 @@
         }
     }
 
-    private addLink(name: string): void {
-        const address = parseAddress(name);
+    private addLink(endpoint: string): void {
+        const address = parseAddress(endpoint);
         if (!address) return;
         const lifecycle = this.options.lifecycle.child();
         const onOpen = (channel: PeerChannel): void => {
@@ -81,7 +81,7 @@
         };
         const link = new PeerLink({ ...this.options, address, onOpen });
         lifecycle.run(signal => link.run(signal), () => undefined);
-        this.linksByAddress.set(name, { link, lifecycle });
+        this.linksByAddress.set(endpoint, { link, lifecycle });
         this.list.push(link);
     }
 
--- a/src/control/controlProcess/index.ts
+++ b/src/control/controlProcess/index.ts
@@ -28,7 +28,7 @@
 }
 
 /** Options of `ControlProcess.start`. */
-export interface ControlOptions {
+export interface ControlProcessOptions {
     readonly clock: Clock;
     readonly random: Random;
     readonly network: Network;
@@ -82,7 +82,7 @@
      *
      * @throws StoreError when the data folder is damaged or in use, NetworkError when the address is in use.
      */
-    static async start(options: ControlOptions): Promise<ControlProcess> {
+    static async start(options: ControlProcessOptions): Promise<ControlProcess> {
         const { clock, logTiming, timing, peers: address, members, viewLeaseMs, logger, routing } = options;
         const lifecycle = new Lifecycle();
         const router = new PeerRouter();
@@ -141,7 +141,7 @@
         return this.lifecycle.close();
     }
 
-    private makeRunner(options: ControlOptions): HolderRunner {
+    private makeRunner(options: ControlProcessOptions): HolderRunner {
         const { clock, network, logger, logTiming, routing } = options;
         const sender = new ConnectionSender(network, clock, routing?.platform?.flightMs);
         this.lifecycle.own(() => sender.resetAll());
@@ -155,7 +155,7 @@
         });
     }
 
-    private makeTasks(options: ControlOptions, sender: ConnectionSender): HolderTask[] {
+    private makeTasks(options: ControlProcessOptions, sender: ConnectionSender): HolderTask[] {
         const { platform, operators, self, windowGraceMs: graceMs } = options;
         const shared = { ...options, log: this.log, state: this.state, sender };
         const tasks: HolderTask[] = [
--- a/src/control/controlState/test.ts
+++ b/src/control/controlState/test.ts
@@ -55,8 +55,8 @@
 const ALL_COMMANDS = [...COMMANDS, ...QUARANTINE_COMMANDS];
 
 function applyAll(state: ControlState, commands: readonly object[], from = 0): unknown[] {
-    return commands.map((command, at) => {
-        const index = from + at + 1 as LogIndex;
+    return commands.map((command, offset) => {
+        const index = from + offset + 1 as LogIndex;
         return state.apply(decodeValue(encodeValue(command)), { index, proposedAt: 1_000 });
     });
 }
--- a/src/control/coverPolicy/index.ts
+++ b/src/control/coverPolicy/index.ts
@@ -8,7 +8,7 @@
     OwnedUpstream,
     PendingStart,
     PurchaseOrder,
-    PurchasePolicy as Decision,
+    PurchasePolicy as PurchaseDecision,
     StopOrder,
 } from "../../purchase/index.js";
 import { PoolReport, ReportedUpstream } from "../demandReport/index.js";
@@ -21,7 +21,7 @@
     /** Fetches the platform's offers. */
     readonly offers: OfferReader;
     /** Decides which offers to purchase and which upstreams to release. */
-    readonly decision: Decision;
+    readonly decision: PurchaseDecision;
     readonly forecast: ForecastSettings;
     readonly logger: Logger;
 }
--- a/src/control/demandTable/index.ts
+++ b/src/control/demandTable/index.ts
@@ -6,7 +6,7 @@
 
 interface ReceivedReport {
     readonly report: PoolReport;
-    /** Monotonic time, in milliseconds. */
+    /** Monotonic time of its receipt, in milliseconds. */
     readonly heardAt: number;
 }
 
@@ -35,8 +35,8 @@
     /** Returns the reports of all pools that have a fresh one. */
     listFresh(): readonly PoolReport[] {
         const oldest = this.clock.monotonic() - STALE_AFTER_MS;
-        for (const [name, { heardAt }] of this.reports) {
-            if (heardAt < oldest) this.reports.delete(name);
+        for (const [key, { heardAt }] of this.reports) {
+            if (heardAt < oldest) this.reports.delete(key);
         }
         return [...this.reports.values()].map(({ report }) => report);
     }
--- a/src/control/holderAnnouncer/index.ts
+++ b/src/control/holderAnnouncer/index.ts
@@ -4,7 +4,7 @@
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 
-const RETRY_MS = 500;
+const RETRY_DELAY_MS = 500;
 const PAUSE_MS = 5_000;
 
 /** Options of `HolderAnnouncer`. */
@@ -28,6 +28,6 @@
         const { log, state, host, operatorAddress } = this.options;
         if (state.directory.find(host) === operatorAddress || !term.mayAct()) return PAUSE_MS;
         const proposed = await log.propose({ kind: "holder.announce", host, operatorAddress });
-        return proposed.isRight() ? PAUSE_MS : RETRY_MS;
+        return proposed.isRight() ? PAUSE_MS : RETRY_DELAY_MS;
     }
 }
--- a/src/control/orderHistory/index.ts
+++ b/src/control/orderHistory/index.ts
@@ -7,27 +7,27 @@
 
 /** Looks up the orders in the control log that concern an upstream or a pool. */
 export class OrderHistory {
-    private readonly orders: readonly OrderRecord[];
-    private readonly open: readonly OrderRecord[];
+    private readonly allOrders: readonly OrderRecord[];
+    private readonly openOrders: readonly OrderRecord[];
 
     constructor({ openOrders, finishedOrders }: PurchaseSituation) {
-        this.open = openOrders;
-        this.orders = [...finishedOrders, ...openOrders];
+        this.openOrders = openOrders;
+        this.allOrders = [...finishedOrders, ...openOrders];
     }
 
     /** Whether an order for the pool to the platform has no outcome yet. */
     hasOpenOrder(pool: string): boolean {
-        return this.open.some(({ target }) => target.to === "platform" && target.body.pool === pool);
+        return this.openOrders.some(({ target }) => target.to === "platform" && target.body.pool === pool);
     }
 
     /** Returns the order that started an upstream. */
     findStartOrder(upstream: string): OrderRecord | undefined {
-        return this.orders.find(order => isPlatformOrder(order, "start") && order.upstreams.includes(upstream));
+        return this.allOrders.find(order => isPlatformOrder(order, "start") && order.upstreams.includes(upstream));
     }
 
     /** Returns the drain order for an upstream, unless it was refused. */
     findDrainOrder(upstream: string): OrderRecord | undefined {
-        return this.orders.find(({ target, outcome }) =>
+        return this.allOrders.find(({ target, outcome }) =>
             target.to === "engine" && target.body.action === "drain" && target.upstream === upstream
             && outcome !== "refused"
         );
@@ -35,7 +35,7 @@
 
     /** Whether a stop of the upstream has been ordered from the platform. */
     isStopOrdered(upstream: string): boolean {
-        return this.orders.some(order =>
+        return this.allOrders.some(order =>
             isPlatformOrder(order, "stop") && order.target.to === "platform" && order.target.body.upstream === upstream
         );
     }
--- a/src/control/orderSender/index.ts
+++ b/src/control/orderSender/index.ts
@@ -17,7 +17,7 @@
 import { HolderTerm } from "../holderTerm/index.js";
 
 const PAUSE_MS = 100;
-const RETRY_MS = 500;
+const RETRY_DELAY_MS = 500;
 const STATUS_CONFLICT = 409;
 const STATUS_TOO_MANY_REQUESTS = 429;
 /** Maximum number of receivers that are sent to concurrently; the orders of one receiver are sent sequentially. */
@@ -55,7 +55,7 @@
         const queue = new PQueue({ concurrency: MAX_CONCURRENT_RECEIVERS });
         const receivers = groupByReceiver(open);
         const results = await queue.addAll(receivers.map(orders => () => this.sendInOrder(orders, term)));
-        return results.every(done => done) ? PAUSE_MS : RETRY_MS;
+        return results.every(done => done) ? PAUSE_MS : RETRY_DELAY_MS;
     }
 
     /** @returns False as soon as an order must be resent; the orders after it wait for it. */
@@ -98,7 +98,7 @@
         sent: Either<FencedSendError, FencedReply>,
     ): OrderOutcomeCommand | undefined {
         const reply = sent.toMaybe().extract();
-        if (!reply) return this.giveUpOnEngine(order);
+        if (!reply) return this.refuseIfEngineGone(order);
         const { status, body } = reply;
         if (status >= 200 && status < 300) return toDoneOutcome(order, body);
         // 409 for a stale token: a later holder has acted and will resend this order; this term is about to end.
@@ -106,9 +106,9 @@
         return shouldRetry ? undefined : toRefusedOutcome(order, `status ${status}`);
     }
 
-    private giveUpOnEngine(order: OrderRecord): OrderOutcomeCommand | undefined {
-        const waited = this.options.clock.now() - order.intendedAt;
-        const isGone = order.target.to === "engine" && waited > ENGINE_ORDER_TIMEOUT_MS;
+    private refuseIfEngineGone(order: OrderRecord): OrderOutcomeCommand | undefined {
+        const waitedMs = this.options.clock.now() - order.intendedAt;
+        const isGone = order.target.to === "engine" && waitedMs > ENGINE_ORDER_TIMEOUT_MS;
         return isGone ? toRefusedOutcome(order, "the engine can't be reached") : undefined;
     }
 }
--- a/src/control/packedView/index.ts
+++ b/src/control/packedView/index.ts
@@ -41,7 +41,7 @@
 
 function packKeys({ keys }: ViewChange): KeyColumns {
     const hashes = Buffer.alloc(keys.length * HASH_BYTES);
-    keys.forEach((key, at) => hashes.write(key.hash, at * HASH_BYTES, "hex"));
+    keys.forEach((key, index) => hashes.write(key.hash, index * HASH_BYTES, "hex"));
     return { hashes, workspaceOf: keys.map(key => key.workspace) };
 }
 
--- a/src/control/poolSizer/index.ts
+++ b/src/control/poolSizer/index.ts
@@ -158,7 +158,7 @@
 
     /** Returns the need that matches the pool's current size plus a spare, for use while its load is unknown. */
     private countNeedForCurrentSize(pool: PoolId, scaling: ScalingSpec): number {
-        const zones = this.describeZones(pool, scaling);
+        const zones = this.listZoneSituations(pool, scaling);
         const readyCount = zones.reduce((sum, { steady, reclaimable }) => sum + steady.ready + reclaimable.ready, 0);
         const perZone = zones.length === 0 ? 0 : readyCount / zones.length;
         return Math.ceil(perZone * Math.max(1, zones.length - 1)) + UNKNOWN_LOAD_SPARE;
@@ -170,12 +170,12 @@
     }
 
     private planPool(pool: PoolId, scaling: ScalingSpec): DueOrder[] {
-        const zones = this.describeZones(pool, scaling);
+        const zones = this.listZoneSituations(pool, scaling);
         const { least, most, reclaimablePrice } = scaling;
         const needed = this.needs.get(pool)?.count ?? 0;
         const leastNeeded = Math.ceil(needed * PREFILL_SHARE / MAX_PREFILL_SHARE);
         const targets = planZones({ zones, least, most, reclaimablePrice, needed, leastNeeded });
-        return targets.flatMap((target, at) => this.listOrders(pool, scaling, zones[at], target));
+        return targets.flatMap((target, index) => this.listOrders(pool, scaling, zones[index], target));
     }
 
     private listOrders(pool: PoolId, scaling: ScalingSpec, zone: ZoneSituation, target: ZoneWish): DueOrder[] {
@@ -205,7 +205,7 @@
         return previous.count !== order.count || previous.soldOut || isMissing;
     }
 
-    private describeZones(pool: PoolId, { zonePrices }: ScalingSpec): ZoneSituation[] {
+    private listZoneSituations(pool: PoolId, { zonePrices }: ScalingSpec): ZoneSituation[] {
         const upstreams = this.options.registry.list(pool);
         const zones = new Set(upstreams.map(({ zone }) => zone));
         return [...zones].sort().map(zone => {
--- a/src/control/purchaseRunner/index.ts
+++ b/src/control/purchaseRunner/index.ts
@@ -8,7 +8,7 @@
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
 
-const RETRY_MS = 200;
+const RETRY_DELAY_MS = 200;
 
 /** Input of a policy from the control log and the entries. Policies obtain any further input on their own. */
 export interface PurchaseSituation {
@@ -77,7 +77,7 @@
     async step(term: HolderTerm): Promise<number> {
         const { state, demand, clock, policy, periodMs } = this.options;
         this.startTerm(term);
-        if (!await this.commitIntents(term)) return RETRY_MS;
+        if (!await this.commitIntents(term)) return RETRY_DELAY_MS;
         const planned = await policy.plan({
             now: clock.now(),
             openOrders: state.orders.listOpen(),
@@ -85,7 +85,7 @@
             demand: demand.listFresh(),
         });
         this.uncommitted = planned.map(order => this.makeIntent(order, term));
-        return await this.commitIntents(term) ? periodMs : RETRY_MS;
+        return await this.commitIntents(term) ? periodMs : RETRY_DELAY_MS;
     }
 
     /** Drops intents left unconfirmed by an earlier term: by now they are in the log or never will be. */
--- a/src/control/quarantineService/test.ts
+++ b/src/control/quarantineService/test.ts
@@ -9,56 +9,56 @@
 const UPSTREAM = { slots: 8, workMs: 20, crashesOn: CRASHING, restartMs: 2_000 };
 
 describe("QuarantineService", () => {
-    const fleet = { running: undefined as RoutedFleet | undefined };
+    const current = { fleet: undefined as RoutedFleet | undefined };
 
     /** Starts a fleet in which one request is quarantined. */
     async function startFleet(): Promise<RoutedFleet> {
         const upstreams = Array.from({ length: 5 }, () => UPSTREAM);
-        const running = new RoutedFleet({ entries: 2, upstreams, queueHosts: true });
-        fleet.running = running;
-        await running.start(makeDocument({ routes: [makeRoute({ keyless: true })] }));
+        const fleet = new RoutedFleet({ entries: 2, upstreams, queueHosts: true });
+        current.fleet = fleet;
+        await fleet.start(makeDocument({ routes: [makeRoute({ keyless: true })] }));
         for (let time = 0; time < 4; time++) {
-            await running.call({ entry: time % 2, path: "/orders/1", body: CRASHING });
-            await running.pass(200);
+            await fleet.call({ entry: time % 2, path: "/orders/1", body: CRASHING });
+            await fleet.pass(200);
         }
-        return running;
+        return fleet;
     }
 
-    async function read(running: RoutedFleet, through: number): Promise<readonly QuarantinedRequest[] | undefined> {
-        const answer = await running.run(running.controls[through]!.routing!.quarantine.read());
+    async function read(fleet: RoutedFleet, control: number): Promise<readonly QuarantinedRequest[] | undefined> {
+        const answer = await fleet.run(fleet.controls[control]!.routing!.quarantine.read());
         return answer.toMaybe().extract();
     }
 
-    function lift(running: RoutedFleet, fingerprint: RequestFingerprint, through: number) {
-        return running.run(running.controls[through]!.routing!.quarantine.lift(fingerprint));
+    function lift(fleet: RoutedFleet, fingerprint: RequestFingerprint, control: number) {
+        return fleet.run(fleet.controls[control]!.routing!.quarantine.lift(fingerprint));
     }
 
-    afterEach(() => fleet.running?.close());
+    afterEach(() => current.fleet?.close());
 
     it("lists the same at each control process, with the runs that crashed", async () => {
-        const running = await startFleet();
+        const fleet = await startFleet();
         const lists = [];
-        for (const through of [0, 1, 2, 3, 4]) lists.push(await read(running, through));
+        for (const control of [0, 1, 2, 3, 4]) lists.push(await read(fleet, control));
         assert.equal(new Set(lists.map(list => JSON.stringify(list))).size, 1);
         const [{ crashed, rounds }] = lists[0]!;
         assert.deepEqual([crashed.length, rounds], [3, 1]);
     });
 
     it("lifts through any control process, and again when it is asked again", async () => {
-        const running = await startFleet();
-        const [{ fingerprint }] = (await read(running, 0))!;
+        const fleet = await startFleet();
+        const [{ fingerprint }] = (await read(fleet, 0))!;
         const states = [];
-        for (const through of [1, 3]) states.push((await lift(running, fingerprint, through)).unsafeCoerce().state);
+        for (const control of [1, 3]) states.push((await lift(fleet, fingerprint, control)).unsafeCoerce().state);
         assert.deepEqual(states, ["changed", "unchanged"]);
-        assert.deepEqual(await read(running, 4), []);
+        assert.deepEqual(await read(fleet, 4), []);
     });
 
     it("fails without a reachable majority", async () => {
-        const running = await startFleet();
-        const [{ fingerprint }] = (await read(running, 0))!;
-        for (const number of [1, 2, 3]) await running.run(running.killControl(number));
-        await running.pass(3_000);
-        assert.equal(await read(running, 0), undefined);
-        assert.equal((await lift(running, fingerprint, 0)).isLeft(), true);
+        const fleet = await startFleet();
+        const [{ fingerprint }] = (await read(fleet, 0))!;
+        for (const number of [1, 2, 3]) await fleet.run(fleet.killControl(number));
+        await fleet.pass(3_000);
+        assert.equal(await read(fleet, 0), undefined);
+        assert.equal((await lift(fleet, fingerprint, 0)).isLeft(), true);
     });
 });
--- a/src/control/routingService/index.ts
+++ b/src/control/routingService/index.ts
@@ -153,10 +153,10 @@
             readonly sender: FencedSender;
             readonly platformChecksFence: boolean;
         },
-        describe: NonNullable<RoutingPlatform["describeSize"]>,
+        buildCall: NonNullable<RoutingPlatform["describeSize"]>,
     ): PoolSizer {
         const { demand } = this.options.service;
-        return new PoolSizer({ ...platformOptions, registry: this.registry, demand, buildCall: describe });
+        return new PoolSizer({ ...platformOptions, registry: this.registry, demand, buildCall: buildCall });
     }
 
     private async pollMembers(signal: AbortSignal): Promise<void> {
--- a/src/control/startsRecorder/index.ts
+++ b/src/control/startsRecorder/index.ts
@@ -32,7 +32,7 @@
 
     async step(term: HolderTerm): Promise<number> {
         const { table, log, logger } = this.options;
-        const runs = this.takeOpen();
+        const runs = this.takeOpenWindows();
         if (runs.length === 0 || !term.mayAct()) {
             table.returnUnrecorded(runs);
             return RECORD_INTERVAL_MS;
@@ -46,7 +46,7 @@
     }
 
     /** Takes the unrecorded counts of windows that are not closed. */
-    private takeOpen(): RunReport[] {
+    private takeOpenWindows(): RunReport[] {
         const { table, state } = this.options;
         return table.takeUnrecorded().flatMap(({ run, windows }) => {
             const open = windows.filter(({ window }) => !state.starts.isClosed(window));
--- a/src/control/startsTable/index.ts
+++ b/src/control/startsTable/index.ts
@@ -108,17 +108,17 @@
 
     private dropExpired(oldest: number): void {
         const expired = new Set(
-            [...this.firstReceivedAt].filter(([, heardAt]) => heardAt < oldest).map(([window]) => window),
+            [...this.firstReceivedAt].filter(([, receivedAt]) => receivedAt < oldest).map(([window]) => window),
         );
         const isExpired = (window: number): boolean => expired.has(window);
         this.counts.forget(isExpired);
         this.unrecorded.forget(isExpired);
         for (const window of expired) this.firstReceivedAt.delete(window);
-        for (const [name, { heardAt }] of this.runs) {
-            if (heardAt < oldest) this.runs.delete(name);
+        for (const [runKey, { heardAt }] of this.runs) {
+            if (heardAt < oldest) this.runs.delete(runKey);
         }
-        for (const [host, name] of this.currentRuns) {
-            if (!this.runs.has(name)) this.currentRuns.delete(host);
+        for (const [host, runKey] of this.currentRuns) {
+            if (!this.runs.has(runKey)) this.currentRuns.delete(host);
         }
     }
 }
--- a/src/control/startsTable/test.ts
+++ b/src/control/startsTable/test.ts
@@ -69,18 +69,18 @@
             await clock.advance(250);
         }
     };
-    return { clock, state, log, time, platform, table, report, run, first: firstWindow };
+    return { clock, state, log, time, platform, table, report, run, firstWindow };
 }
 
 describe("windows of started requests", () => {
     it("are reported once all entries have counted past their end, with the sum of their counts", async () => {
-        const { platform, report, run, first } = await makeTable();
+        const { platform, report, run, firstWindow } = await makeTable();
         await run(7_000, () => {
             report("entry-1", 3);
             report("entry-2", 4);
         });
-        assert.deepEqual(platform.reports[0], { window: first, counts: { butcher: 7 } });
-        assert.equal(platform.reports.filter(({ window }) => window === first).length, 1);
+        assert.deepEqual(platform.reports[0], { window: firstWindow, counts: { butcher: 7 } });
+        assert.equal(platform.reports.filter(({ window }) => window === firstWindow).length, 1);
     });
 
     it("wait for an entry that has stopped reporting, but not forever", async () => {
@@ -116,24 +116,24 @@
 
     it("do not wait for a run of an entry that another run has replaced, and keep its counts", async () => {
         // Guards against windows that are closed at the last moment during a rolling restart of entries, so that any platform fault makes them late.
-        const { platform, report, run, first } = await makeTable();
+        const { platform, report, run, firstWindow } = await makeTable();
         report("entry-1", 3);
-        await run(7_000, () => report("entry-1", 4, first, { incarnation: "2" }));
+        await run(7_000, () => report("entry-1", 4, firstWindow, { incarnation: "2" }));
         assert.deepEqual(platform.reports[0].counts, { butcher: 7 });
     });
 
     it("do not wait again for an earlier run whose report was delayed", async () => {
-        const { platform, report, run, first } = await makeTable();
+        const { platform, report, run, firstWindow } = await makeTable();
         report("entry-1", 3);
-        report("entry-1", 4, first, { incarnation: "2" });
+        report("entry-1", 4, firstWindow, { incarnation: "2" });
         report("entry-1", 5);
-        await run(7_000, () => report("entry-1", 4, first, { incarnation: "2" }));
+        await run(7_000, () => report("entry-1", 4, firstWindow, { incarnation: "2" }));
         assert.deepEqual(platform.reports[0].counts, { butcher: 9 });
     });
 
     it("do not wait for an entry that has sent its final report, and keep its counts", async () => {
-        const { platform, report, run, first } = await makeTable();
-        report("entry-2", 4, first, { isLast: true });
+        const { platform, report, run, firstWindow } = await makeTable();
+        report("entry-2", 4, firstWindow, { isLast: true });
         await run(7_000, () => report("entry-1", 3));
         assert.deepEqual(platform.reports[0].counts, { butcher: 7 });
     });
@@ -148,7 +148,7 @@
 
     it("keep what was counted when all processes are killed in the middle of them", async () => {
         // Guards against an incomplete window: its counts were only in the memory of processes that are all gone.
-        const { clock, state, table, log, report, first, time } = await makeTable();
+        const { clock, state, table, log, report, firstWindow, time } = await makeTable();
         const term = { token: 1 as FencingToken, mayAct: () => true } as unknown as HolderTerm;
         report("entry-1", 3);
         report("entry-2", 4);
@@ -159,7 +159,7 @@
         const nextLog = group.join("control-1" as HostId, revived);
         group.elect("control-1" as HostId);
         const nextTable = new StartsTable(clock, new PeerRouter());
-        const windows = [{ window: first, counts: { [BUTCHER]: 5 } as StartsReport["windows"][0]["counts"] }];
+        const windows = [{ window: firstWindow, counts: { [BUTCHER]: 5 } as StartsReport["windows"][0]["counts"] }];
         nextTable.record({ host: "entry-1", incarnation: "2", countedAt: time.now(), windows });
         const parts = { log: nextLog, state: revived, table: nextTable, time, logger: new SilentLogger() };
         const closer = new StartsWindowCloser({ ...parts, windowMs: WINDOW_MS, maxReportWaitMs: 6_000 });
@@ -186,20 +186,20 @@
     it("are sent again with the same counts, whatever has been counted since", async () => {
         // The platform is down when a window is due, and an entry's late count arrives before the retry. A report with different counts
         // would be billed a second time.
-        const { platform, report, run, first } = await makeTable();
+        const { platform, report, run, firstWindow } = await makeTable();
         platform.status = 503;
         await run(7_000, () => report("entry-1", 3));
         platform.status = 200;
         await run(3_000, () => report("entry-1", 9));
-        const reports = platform.reports.filter(({ window }) => window === first);
+        const reports = platform.reports.filter(({ window }) => window === firstWindow);
         assert.ok(reports.length > 1);
         assert.ok(reports.every(({ counts }) => counts.butcher === 3));
     });
 
     it("are dropped once closed, also on processes that close none", async () => {
         // Guards against memory that grows forever at control processes that never hold the lease.
-        const { clock, table, report, first } = await makeTable();
-        for (let window = first; window < first + 100; window++) {
+        const { clock, table, report, firstWindow } = await makeTable();
+        for (let window = firstWindow; window < firstWindow + 100; window++) {
             report("entry-1", 3, window);
             await clock.advance(WINDOW_MS);
         }
--- a/src/control/viewCache/index.ts
+++ b/src/control/viewCache/index.ts
@@ -98,17 +98,17 @@
 
     private storeWorkspaces({ profiles, ids, profileOf, tokenLimits }: PackedViews): void {
         const interned = profiles.map(profile => this.internProfile(profile));
-        ids.forEach((id, at) => {
-            this.workspaces.set(id, interned[profileOf[at]]);
-            if (tokenLimits[at] === NO_LIMIT) this.tokenLimits.delete(id);
-            else this.tokenLimits.set(id, tokenLimits[at]);
+        ids.forEach((id, index) => {
+            this.workspaces.set(id, interned[profileOf[index]]);
+            if (tokenLimits[index] === NO_LIMIT) this.tokenLimits.delete(id);
+            else this.tokenLimits.set(id, tokenLimits[index]);
         });
     }
 
     private storeKeys({ hashes, workspaceOf }: PackedViews): void {
         const bytes = Buffer.from(hashes.buffer, hashes.byteOffset, hashes.length);
-        workspaceOf.forEach((workspace, at) => {
-            this.keys.set(bytes.toString("latin1", at * HASH_BYTES, (at + 1) * HASH_BYTES), workspace);
+        workspaceOf.forEach((workspace, index) => {
+            this.keys.set(bytes.toString("latin1", index * HASH_BYTES, (index + 1) * HASH_BYTES), workspace);
         });
     }
 
--- a/src/control/viewHistory/index.ts
+++ b/src/control/viewHistory/index.ts
@@ -5,7 +5,7 @@
 /** Maximum number of remembered touched workspaces and keys; an entry that is further behind gets the full view. */
 const MAX_TOUCHED = 20_000;
 
-interface Step {
+interface TouchedStep {
     readonly revision: Revision;
     readonly touched: TouchedViews;
 }
@@ -18,7 +18,7 @@
  * history.record(registry.revision, touched);
  */
 export class ViewHistory {
-    private steps: Step[] = [];
+    private steps: TouchedStep[] = [];
     private size = 0;
     /** All changes after this revision are remembered. */
     private minRevision = 0;
@@ -57,9 +57,9 @@
     }
 
     private findFirstAfter(revision: number): number {
-        let at = this.steps.length;
-        while (at > 0 && this.steps[at - 1].revision > revision) at--;
-        return at;
+        let index = this.steps.length;
+        while (index > 0 && this.steps[index - 1].revision > revision) index--;
+        return index;
     }
 }
 
--- a/src/control/viewHistory/test.ts
+++ b/src/control/viewHistory/test.ts
@@ -10,7 +10,7 @@
 const KEYS = ["k0", "k1", "k2", "k3"].map(id => ({ id, hash: hashKey(id) }));
 
 const step = fc.record({
-    act: fc.constantFrom(
+    operation: fc.constantFrom(
         "template",
         "create",
         "limit",
@@ -22,61 +22,65 @@
         "pull",
         "restart",
     ),
-    which: fc.nat(3),
-    stale: fc.boolean(),
+    target: fc.nat(3),
+    replaysOld: fc.boolean(),
 });
 
-function describeChange(act: string, which: number, state: ControlState): object {
-    const id = WORKSPACES[which % WORKSPACES.length];
-    const key = KEYS[which];
+function makeChange(operation: string, target: number, state: ControlState): object {
+    const id = WORKSPACES[target % WORKSPACES.length];
+    const key = KEYS[target];
     const base = state.registry.workspace(id)?.revision ?? 0;
     const classes = [{ name: "a", tier: 0, firstTokenMs: 1, tokenMs: 1, maxWaitMs: 1, guaranteedShare: 0 }];
-    const spec = { parameters: [], weight: which + 1, classes, defaultClass: "a", pools: [], nonRepeatable: [] };
-    if (act === "template") {
+    const spec = { parameters: [], weight: target + 1, classes, defaultClass: "a", pools: [], nonRepeatable: [] };
+    if (operation === "template") {
         const templateBase = state.registry.template("t" as never)?.revision ?? 0;
         return { kind: "template.put", name: "t", spec, base: templateBase };
     }
-    if (act === "create") return { kind: "workspace.create", id, template: "t", parameters: [] };
-    if (act === "limit") return { kind: "workspace.limit", id, tokenLimit: which, base };
-    if (act === "remove") return { kind: "workspace.remove", id, base };
-    if (act === "grant") return { kind: "key.grant", workspace: id, keyId: key.id, hash: key.hash };
+    if (operation === "create") return { kind: "workspace.create", id, template: "t", parameters: [] };
+    if (operation === "limit") return { kind: "workspace.limit", id, tokenLimit: target, base };
+    if (operation === "remove") return { kind: "workspace.remove", id, base };
+    if (operation === "grant") return { kind: "key.grant", workspace: id, keyId: key.id, hash: key.hash };
     return { kind: "key.withdraw", keyId: key.id };
 }
 
-/** Lists the workspace to which each key gives access in a cache. */
+/** Lists the workspaces to which the keys give access in a cache. */
 function listAccess(cache: ViewCache): unknown[] {
     return KEYS.map(({ hash }) => cache.findByKey(hash as KeyHash));
 }
 
-function checkSchedule(steps: readonly { act: string; which: number; stale: boolean; }[]): void {
+function checkSchedule(steps: readonly { operation: string; target: number; replaysOld: boolean; }[]): void {
     let state = new ControlState();
     let index = 0;
     const cache = new ViewCache();
     const held: ViewChange[] = [];
     const withdrawn = new Set<KeyHash>();
-    const setUp = ["template", "create", "create", "create"].map((act, which) => ({ act, which, stale: false }));
-    for (const { act, which, stale } of [...setUp, ...steps]) {
-        if (act === "restart") {
+    const setUp = ["template", "create", "create", "create"].map((operation, target) => ({
+        operation,
+        target,
+        replaysOld: false,
+    }));
+    for (const { operation, target, replaysOld } of [...setUp, ...steps]) {
+        if (operation === "restart") {
             const bytes = encodeValue(state.snapshot());
             state = new ControlState();
             state.restore(decodeValue(bytes));
         }
-        else if (act === "pull") {
+        else if (operation === "pull") {
             const plain = state.changeSince(cache.revision);
-            const change = decodeValue(encodeValue(which % 2 === 0 ? packChange(plain) : plain)) as ViewChange;
+            const change = decodeValue(encodeValue(target % 2 === 0 ? packChange(plain) : plain)) as ViewChange;
             cache.apply(change);
             held.push(change);
             // An old reply that was delayed in the network.
-            if (stale) cache.apply(held[which % held.length]);
+            if (replaysOld) cache.apply(held[target % held.length]);
             const fresh = new ViewCache();
             fresh.apply(state.changeSince(0));
             assert.deepEqual(listAccess(cache), listAccess(fresh));
         }
         else {
             index++;
-            const change = { changeId: `c${index}`, operator: "anna", ...describeChange(act, which, state) };
+            const change = { changeId: `c${index}`, operator: "anna", ...makeChange(operation, target, state) };
             const result = state.apply(change, { index: index as LogIndex, proposedAt: index }) as { kind: string; };
-            if (act === "withdraw" && result.kind === "done") withdrawn.add(KEYS[which].hash);
+            if (operation === "withdraw" && result.kind === "done") withdrawn.add(KEYS[target].hash);
         }
         for (const hash of withdrawn) assert.equal(state.registry.viewKey(hash), undefined);
     }
--- a/src/control/windowReporter/index.ts
+++ b/src/control/windowReporter/index.ts
@@ -80,8 +80,8 @@
     }
 
     private increaseRetryDelay(): number {
-        const { retryDelayMs: retryMs } = this;
-        this.retryDelayMs = Math.min(retryMs * 2, this.timing.lastRetryMs);
-        return retryMs;
+        const { retryDelayMs: retryDelayMs } = this;
+        this.retryDelayMs = Math.min(retryDelayMs * 2, this.timing.lastRetryMs);
+        return retryDelayMs;
     }
 }
