--- a/src/control/coverPolicy/test.ts
+++ b/src/control/coverPolicy/test.ts
@@ -82,9 +82,9 @@
 
 describe("CoverPolicy", () => {
     it("starts upstreams for the demand", async () => {
-        const bench = new PolicySetup();
-        await bench.serveOffers();
-        const orders = await bench.plan({ demand: [makeReport("draft", 6, 0)] });
+        const setup = new PolicySetup();
+        await setup.serveOffers();
+        const orders = await setup.plan({ demand: [makeReport("draft", 6, 0)] });
         assert.deepEqual(
             orders.map(({ target }) => target.body),
             OFFERS.map(({ zone }) => {
@@ -94,25 +94,25 @@
     });
 
     it("orders a surplus engine to drain, not the platform to stop it", async () => {
-        const bench = new PolicySetup();
-        await bench.serveOffers();
-        const orders = await bench.plan({ demand: [makeReport("draft", 0, 2)] });
+        const setup = new PolicySetup();
+        await setup.serveOffers();
+        const orders = await setup.plan({ demand: [makeReport("draft", 0, 2)] });
         const actions = orders.map(({ target }) => `${target.to} ${target.body.action}`);
         assert.deepEqual(actions.filter(action => action.endsWith("stop")), []);
         assert.ok(actions.includes("engine drain"));
     });
 
     it("orders nothing for a pool without a report", async () => {
-        const bench = new PolicySetup();
-        await bench.serveOffers();
-        await bench.plan({ demand: [makeReport("draft", 6, 0)] });
-        assert.deepEqual(await bench.plan({ now: NOW + 60_000 }), []);
+        const setup = new PolicySetup();
+        await setup.serveOffers();
+        await setup.plan({ demand: [makeReport("draft", 6, 0)] });
+        assert.deepEqual(await setup.plan({ now: NOW + 60_000 }), []);
     });
 
     it("orders nothing for a pool that the platform does not offer", async () => {
-        const bench = new PolicySetup();
-        await bench.serveOffers();
-        assert.deepEqual(await bench.plan({ demand: [makeReport("orders", 0, 3)] }), []);
+        const setup = new PolicySetup();
+        await setup.serveOffers();
+        assert.deepEqual(await setup.plan({ demand: [makeReport("orders", 0, 3)] }), []);
     });
 
     it("orders nothing while the offers can't be read", async () => {
@@ -124,18 +124,18 @@
     });
 
     it("waits for the outcome of an order", async () => {
-        const bench = new PolicySetup();
-        await bench.serveOffers();
+        const setup = new PolicySetup();
+        await setup.serveOffers();
         const openOrders = [makeStart({})];
-        assert.deepEqual(await bench.plan({ openOrders, demand: [makeReport("draft", 6, 0)] }), []);
+        assert.deepEqual(await setup.plan({ openOrders, demand: [makeReport("draft", 6, 0)] }), []);
     });
 
     describe("while an ordered engine has not announced itself", () => {
         const finishedOrders = [makeStart({ outcome: "done", upstreams: ["draft-9"], finishedAt: NOW })];
         const countStarts = async (now: number): Promise<number> => {
-            const bench = new PolicySetup();
-            await bench.serveOffers();
-            return (await bench.plan({ now, finishedOrders, demand: [makeReport("draft", 6, 0)] })).length;
+            const setup = new PolicySetup();
+            await setup.serveOffers();
+            return (await setup.plan({ now, finishedOrders, demand: [makeReport("draft", 6, 0)] })).length;
         };
 
         it("counts it as pending", async () => {
--- a/src/control/holderRunner/test.ts
+++ b/src/control/holderRunner/test.ts
@@ -249,7 +249,7 @@
     });
 });
 
-describe("EntrySweeper", () => {
+describe("AbandonedCallReaper", () => {
     it("closes the calls of an entry that has gone, after its lease", async () => {
         const controls = await new ControlPair(true).start();
         const call = { workspace: "school", key: "i1", digest: "d", request: "r1", host: "e1", incarnation: "1" };
--- a/src/control/startsTable/test.ts
+++ b/src/control/startsTable/test.ts
@@ -72,7 +72,7 @@
     return { clock, state, log, time, platform, table, report, run, firstWindow };
 }
 
-describe("windows of started requests", () => {
+describe("windows of request starts", () => {
     it("are reported once all entries have counted past their end, with the sum of their counts", async () => {
         const { platform, report, run, firstWindow } = await makeTable();
         await run(7_000, () => {
