--- a/src/upstream/_lib/pickLeast/index.ts
+++ b/src/upstream/_lib/pickLeast/index.ts
@@ -1,46 +1,47 @@
-/** Which item was picked, and how much it weighs. */
+/** The picked item and its weight. */
 export interface Picked<Item> {
     readonly item: Item;
     readonly weight: number;
 }
 
 /**
- * Picks the lightest item, the first of several that weigh the same, and weighs only those that can still win by a bound from below.
+ * Picks the item with the least weight, the first of several equal ones, and weighs only items whose lower bound can
+ * still win.
  *
  * @param items - At least one.
- * @param floorOf - What an item weighs at least; cheap.
- * @param weigh - What it weighs, given that bound; dear.
- * @returns The item that weighing all of them would give.
+ * @param lowerBoundOf - Returns a lower bound of an item's weight; cheap.
+ * @param weigh - Returns an item's weight, given that bound; expensive.
+ * @returns The same item as if all of them were weighed.
  * @example
- * const { item } = pickLeast(candidates, load => waitMs(load), (load, floor) => floor + stallMs(load));
+ * const { item } = pickLeast(candidates, load => waitMs(load), (load, lowerBound) => lowerBound + stallMs(load));
  */
 export function pickLeast<Item>(
     items: readonly Item[],
-    floorOf: (item: Item) => number,
+    lowerBoundOf: (item: Item) => number,
     weigh: (item: Item, floor: number) => number,
 ): Picked<Item> {
-    const floors = items.map(floorOf);
-    let best = indexOfLeast(floors);
-    let least = weigh(items[best], floors[best]);
+    const lowerBounds = items.map(lowerBoundOf);
+    let best = indexOfMin(lowerBounds);
+    let minWeight = weigh(items[best], lowerBounds[best]);
     const first = best;
     for (let index = 0; index < items.length; index++) {
-        if (index === first || !canWin(floors[index], index)) continue;
-        const weight = weigh(items[index], floors[index]);
+        if (index === first || !canWin(lowerBounds[index], index)) continue;
+        const weight = weigh(items[index], lowerBounds[index]);
         if (!canWin(weight, index)) continue;
         best = index;
-        least = weight;
+        minWeight = weight;
     }
-    return { item: items[best], weight: least };
+    return { item: items[best], weight: minWeight };
 
     function canWin(weight: number, index: number): boolean {
-        return weight < least || (weight === least && index < best);
+        return weight < minWeight || (weight === minWeight && index < best);
     }
 }
 
-function indexOfLeast(values: readonly number[]): number {
-    let least = 0;
+function indexOfMin(values: readonly number[]): number {
+    let minIndex = 0;
     for (let index = 1; index < values.length; index++) {
-        if (values[index] < values[least]) least = index;
+        if (values[index] < values[minIndex]) minIndex = index;
     }
-    return least;
+    return minIndex;
 }
--- a/src/upstream/_lib/pickLeast/test.ts
+++ b/src/upstream/_lib/pickLeast/test.ts
@@ -3,23 +3,30 @@
 import { describe, it } from "node:test";
 import { pickLeast } from "./index.js";
 
-interface Weighed {
-    readonly floor: number;
+interface WeightedItem {
+    readonly lowerBound: number;
     readonly extra: number;
 }
 
-const items = fc.array(fc.record({ floor: fc.integer({ min: 0, max: 9 }), extra: fc.integer({ min: 0, max: 9 }) }), {
-    minLength: 1,
-    maxLength: 40,
-});
+const items = fc.array(
+    fc.record({ lowerBound: fc.integer({ min: 0, max: 9 }), extra: fc.integer({ min: 0, max: 9 }) }),
+    {
+        minLength: 1,
+        maxLength: 40,
+    },
+);
 
 describe("pickLeast", () => {
-    it("gives what weighing all would give, the first of equals", () => {
+    it("picks the same item as weighing all, the first of equals", () => {
         fc.assert(
             fc.property(items, all => {
-                const weights = all.map(({ floor, extra }) => floor + extra);
+                const weights = all.map(({ lowerBound, extra }) => lowerBound + extra);
                 const expected = all[weights.indexOf(Math.min(...weights))];
-                const picked = pickLeast<Weighed>(all, ({ floor }) => floor, ({ extra }, floor) => floor + extra);
+                const picked = pickLeast<WeightedItem>(
+                    all,
+                    ({ lowerBound: floor }) => floor,
+                    ({ extra }, lowerBound) => lowerBound + extra,
+                );
                 assert.equal(picked.item, expected);
                 assert.equal(picked.weight, Math.min(...weights));
             }),
@@ -27,12 +34,12 @@
         );
     });
 
-    it("weighs only what can still win", () => {
+    it("weighs only items that can still win", () => {
         let weighed = 0;
-        const all = Array.from({ length: 200 }, (_, index) => ({ floor: index, extra: 3 }));
-        pickLeast(all, ({ floor }) => floor, ({ extra }, floor) => {
+        const all = Array.from({ length: 200 }, (_, index) => ({ lowerBound: index, extra: 3 }));
+        pickLeast(all, ({ lowerBound }) => lowerBound, ({ extra }, lowerBound) => {
             weighed++;
-            return floor + extra;
+            return lowerBound + extra;
         });
         assert.equal(weighed, 3);
     });
--- a/src/upstream/choice/index.ts
+++ b/src/upstream/choice/index.ts
@@ -1,79 +1,90 @@
 import { PoolId, RequestId, UpstreamId, ZoneId } from "../../ids/index.js";
 import { Random } from "../../ports/index.js";
 import { UpstreamLoad } from "../load/index.js";
-import { PrefixIndex } from "../prefixes/index.js";
+import { PrefixIndex } from "../prefixIndex/index.js";
 import { PromptPart } from "../promptCache/index.js";
-import { medianTokenMs } from "../stragglers/index.js";
+import { medianTokenMs } from "../stragglerPolicy/index.js";
 
-/** What the choice needs to know of a request. */
+/** Properties of a request that the selection of an upstream depends on. */
 export interface ChoiceRequest {
     readonly request: RequestId;
     readonly pool: PoolId;
-    /** The prompt's parts with their sizes, where they are known. */
+    /** Parts of the prompt with their sizes; empty if unknown. */
     readonly parts: readonly PromptPart[];
-    /** Finds an upstream from which the candidates can fetch parts; undefined where the pool's upstreams can't do that. */
+    /**
+     * Finds an upstream from which the candidates can fetch parts; undefined if the pool's upstreams don't support
+     * that.
+     */
     readonly findSource: ((id: UpstreamId) => UpstreamLoad | undefined) | undefined;
-    /** The longest pause between two events that is on time, in milliseconds; undefined for answers that are no streams. */
+    /**
+     * Longest pause between two events that counts as on time, in milliseconds; undefined for answers that are not
+     * streamed.
+     */
     readonly gapMs: number | undefined;
-    /** How many tokens an event of the stream holds. */
+    /** Number of tokens per event of the stream. */
     readonly eventTokens: number;
-    /** Within how long the first token should come, in milliseconds. */
+    /** Target time to first token, in milliseconds. */
     readonly targetMs: number;
-    /** What must be sent to the upstream, in bytes. */
+    /** Size of the body to be sent to the upstream, in bytes. */
     readonly bodyBytes: number;
     /** Monotonic time, in milliseconds. */
     readonly now: number;
     readonly prefixes: readonly string[];
     readonly promptTokens: number;
-    /** How long the answer will probably be. */
+    /** Predicted length of the answer, in tokens. */
     readonly predictedTokens: number;
-    /** The zone of the entry that will send it. */
+    /** Zone of the entry that will send it. */
     readonly zone: ZoneId;
 }
 
-/** The upstream chosen, and why. */
+/** The selected upstream and the reason for it. */
 export interface Choice {
     readonly load: UpstreamLoad;
-    /** For `sequoiamux explain`. */
+    /** Shown by `sequoiamux explain`. */
     readonly reason: string;
-    /** Another upstream that should hand over parts of the prompt, so that the chosen one need not read them. */
+    /** Parts of the prompt that the selected upstream should fetch from another one instead of computing them. */
     readonly fetch?: PartsFetch;
 }
 
-/** Parts of a prompt that an upstream can get from another one. */
+/** Prompt parts to be transferred from one upstream to another. */
 export interface PartsFetch {
     readonly from: UpstreamLoad;
     readonly tokens: number;
 }
 
-/** Picks the upstream for a request that is next in its pool's queue. */
+/** Selects the upstream for the next request of a pool's queue. */
 export abstract class UpstreamChoice {
-    /** How many candidates it is offered at the most: one that weighs each in full gets a sample of a large pool. */
+    /**
+     * Maximum number of candidates offered to `choose`. A policy that weighs each one in full gets a sample of a large
+     * pool.
+     */
     readonly mostCandidates: number = 32;
 
     /**
+     * Selects one of the candidates.
+     *
      * @param candidates - Members with a free slot; at least one.
-     * @param request - What is to be sent.
+     * @param request - The request to be sent.
      */
     abstract choose(candidates: readonly UpstreamLoad[], request: ChoiceRequest): Choice;
 
-    /** Told that a request is granted to the upstream chosen. */
+    /** Called when a request has been granted to the selected upstream. */
     granted(_choice: Choice, _request: ChoiceRequest): void {}
 
-    /** Told that a request runs by another process' grant, and for how long, in milliseconds. */
+    /** Called for a running request granted by another process, with the time it has been running in milliseconds. */
     adopted(_load: UpstreamLoad, _request: ChoiceRequest, _runningMs: number): void {}
 
-    /** Told that tokens of a granted request have come; `isFirst` for the first of them. */
+    /** Called when tokens of a granted request have arrived; `isFirst` for the first of them. */
     progressed(_request: RequestId, _isFirst: boolean, _now: number): void {}
 
     /**
-     * Told that a granted request has ended; `failed` is undefined where that says nothing of the upstream, and so is `longestGapMs`, the
-     * longest time between two of its events, in milliseconds.
+     * Called when a granted request has ended. `failed` is undefined if the outcome says nothing about the upstream.
+     * `longestGapMs` is the longest time between two of its events in milliseconds, undefined if unknown.
      */
     ended(_request: RequestId, _failed: boolean | undefined, _now: number, _longestGapMs?: number): void {}
 
     /**
-     * How many upstreams' time the prompts of the last seconds take to read; undefined where that is not followed.
+     * Returns the recent prefill load as a number of fully busy upstreams; undefined if the policy does not track it.
      *
      * @param now - Monotonic time, in milliseconds.
      */
@@ -81,14 +92,14 @@
         return undefined;
     }
 
-    /** Told which parts of prompts an upstream says that it holds. */
+    /** Called with the prompt parts that an upstream reports to hold. */
     learnHeld(_upstream: UpstreamId, _parts: readonly PromptPart[], _now: number): void {}
 
-    /** Told that an upstream has ended, or lives anew. */
+    /** Called when an upstream has ended or restarted. */
     forget(_upstream: UpstreamId): void {}
 }
 
-/** Baseline: each in turn. */
+/** Baseline: selects the candidates in turn. */
 export class RoundRobinChoice extends UpstreamChoice {
     private readonly lastTurn = new Map<UpstreamId, number>();
     private turn = 0;
@@ -101,15 +112,15 @@
     }
 }
 
-/** Baseline: the one with the fewest requests for its size. */
+/** Baseline: selects the candidate with the fewest requests relative to its slots. */
 export class LeastOutstandingChoice extends UpstreamChoice {
     choose(candidates: readonly UpstreamLoad[]): Choice {
-        const load = candidates.reduce((best, other) => fill(other) < fill(best) ? other : best);
+        const load = candidates.reduce((best, other) => utilization(other) < utilization(best) ? other : best);
         return { load, reason: `least outstanding (${load.outstanding})` };
     }
 }
 
-/** Baseline: the better of two picked at random, which avoids that many entries pick the same one. */
+/** Baseline: selects the better of two random candidates, which avoids that many entries select the same one. */
 export class TwoRandomChoices extends UpstreamChoice {
     constructor(private readonly random: Random) {
         super();
@@ -118,39 +129,39 @@
     choose(candidates: readonly UpstreamLoad[]): Choice {
         const first = this.random.pick(candidates);
         const second = this.random.pick(candidates);
-        const load = fill(second) < fill(first) ? second : first;
+        const load = utilization(second) < utilization(first) ? second : first;
         return { load, reason: `better of two (${load.outstanding} outstanding)` };
     }
 }
 
-/** What the parts of a choice weigh. */
-export interface ScoreWeights {
-    /** Processing time of one prompt token that is not cached, in milliseconds. */
+/** Parameters of the time estimate of `ExpectedTimeChoice`. */
+export interface ExpectedTimeWeights {
+    /** Prefill time per uncached prompt token, in milliseconds. */
     readonly prefillTokenMs: number;
     /** One-way latency to another zone, in milliseconds. */
-    readonly zoneMs: number;
-    /** How much a full batch slows each token, as a share of the pace. */
+    readonly otherZoneMs: number;
+    /** Slowdown of each token by a full batch, as a share of the time per token. */
     readonly batchSlowdown: number;
-    /** Pace assumed until one was seen, in milliseconds. */
+    /** Time per token assumed until one was observed, in milliseconds. */
     readonly defaultTokenMs: number;
 }
 
-/** Figures of a mid-size model. */
-export const DEFAULT_SCORE_WEIGHTS: ScoreWeights = {
+/** Values of a mid-size model. */
+export const DEFAULT_EXPECTED_TIME_WEIGHTS: ExpectedTimeWeights = {
     prefillTokenMs: 0.25,
-    zoneMs: 1,
+    otherZoneMs: 1,
     batchSlowdown: 0.5,
     defaultTokenMs: 30,
 };
 
 /**
- * The upstream where the answer will probably end first: processing of the prompt that is not cached, the pace seen
- * there, the slowdown by its batch, and the way to its zone, all in milliseconds.
+ * Selects the upstream on which the answer will probably end first. The estimate in milliseconds adds up the prefill of
+ * the uncached prompt, the observed time per token, the slowdown by the batch, and the latency to its zone.
  */
 export class ExpectedTimeChoice extends UpstreamChoice {
     constructor(
         private readonly prefixes: PrefixIndex,
-        private readonly weights: ScoreWeights = DEFAULT_SCORE_WEIGHTS,
+        private readonly weights: ExpectedTimeWeights = DEFAULT_EXPECTED_TIME_WEIGHTS,
     ) {
         super();
     }
@@ -173,12 +184,12 @@
         const cached = this.prefixes.cachedShare(request.prefixes, load.upstream.id);
         const prefillMs = request.promptTokens * (1 - cached) * this.weights.prefillTokenMs;
         const paceMs = (load.tokenMs ?? medianMs) * request.predictedTokens;
-        const batchMs = medianMs * request.predictedTokens * this.weights.batchSlowdown * fill(load);
-        const zoneMs = load.upstream.zone === request.zone ? 0 : 2 * this.weights.zoneMs;
+        const batchMs = medianMs * request.predictedTokens * this.weights.batchSlowdown * utilization(load);
+        const zoneMs = load.upstream.zone === request.zone ? 0 : 2 * this.weights.otherZoneMs;
         return prefillMs + paceMs + batchMs + zoneMs;
     }
 }
 
-function fill(load: UpstreamLoad): number {
+function utilization(load: UpstreamLoad): number {
     return load.outstanding / load.upstream.slots;
 }
--- a/src/upstream/index.ts
+++ b/src/upstream/index.ts
@@ -1,4 +1,7 @@
-/** The registry of announced upstreams, their load, cache and pace, and the choice among them. */
+/**
+ * Registry of announced upstreams, estimates of their load, caches and speed, and the policies that select one for a
+ * request.
+ */
 export * from "./choice/index.js";
 export * from "./fixtures/index.js";
 export * from "./load/index.js";
@@ -7,16 +10,16 @@
 export * from "./pauseForecast/index.js";
 export * from "./prefillClock/index.js";
 export * from "./prefillModel/index.js";
-export * from "./prefixes/index.js";
+export * from "./prefixIndex/index.js";
 export * from "./promptCache/index.js";
 export * from "./readingHistory/index.js";
 export * from "./readingLoad/index.js";
-export * from "./registry/index.js";
 export * from "./requestAllowance/index.js";
 export * from "./requestLimits/index.js";
 export * from "./requestRate/index.js";
 export * from "./routedChoice/index.js";
 export * from "./routedWeights/index.js";
-export * from "./stragglers/index.js";
+export * from "./stragglerPolicy/index.js";
 export * from "./upstream/index.js";
+export * from "./upstreamRegistry/index.js";
 export * from "./upstreamWork/index.js";
--- a/src/upstream/load/index.ts
+++ b/src/upstream/load/index.ts
@@ -3,229 +3,250 @@
 import { RequestRate } from "../requestRate/index.js";
 import { Upstream } from "../upstream/index.js";
 
-/** A limit that an upstream names. */
-export interface NamedLimit {
-    /** Requests a second from all hosts together. */
+/** Request limit that an upstream states in its answers. */
+export interface AdvertisedLimit {
+    /** Requests per second from all hosts together. */
     readonly perSecond: number;
-    /** Monotonic, in milliseconds. */
+    /** Monotonic time of the answer that stated it, in milliseconds. */
     readonly saidAt: number;
 }
 
-interface Sample {
+interface OutstandingSample {
     readonly at: number;
     readonly outstanding: number;
 }
 
-/** Longer than any load report is late. */
+/** Longer than the delay of any load report. */
 const HISTORY_MS = 10_000;
-const PACE_WEIGHT = 0.2;
-const FAILURE_BACKOFF_MS = 500;
-const FAILURE_BACKOFF_MOST_MS = 30_000;
+const PACE_SMOOTHING = 0.2;
+const INITIAL_FAILURE_BACKOFF_MS = 500;
+const MAX_FAILURE_BACKOFF_MS = 30_000;
 
 /**
- * One upstream's load as the owner of a pool's queue sees it: what it sent itself is known exactly, what others sent
- * only from the upstream's own reports, which are late.
+ * Estimates one upstream's load for the owner of a pool's queue. The requests that the owner sent itself are known
+ * exactly, those of others only from the upstream's own load reports, which are late.
  *
  * A report counts requests that have ended since, and misses those that were sent since. Taken as it is, it would send
- * each burst to the engine that was idle a second ago. So the report is compared with what this process had outstanding
- * when it was measured, and only the difference, the load of others, is added to what is outstanding now.
+ * each burst to the engine that was idle a second ago. So the report is compared with the number of requests that this
+ * process had outstanding when it was measured, and only the difference, the load of others, is added to the number
+ * outstanding now.
  */
 export class UpstreamLoad {
-    private readonly history: Sample[] = [];
-    private readonly starts = new RequestRate();
+    private readonly history: OutstandingSample[] = [];
+    private readonly sendRate = new RequestRate();
     private readonly allowance: RequestAllowance;
-    private own = 0;
-    /** The report that the load of others was worked out from. */
-    private foreignFrom: Announcement | undefined;
+    private ownCount = 0;
+    /** Load report from which the load of others was last calculated. */
+    private foreignReport: Announcement | undefined;
     private foreignCount = 0;
-    private paceMs: number | undefined;
-    private paces = 0;
-    private failures = 0;
-    /** Until when it rests after a failure, and until when it is full by its own count; monotonic, in milliseconds. */
-    private restsUntil = 0;
+    private smoothedTokenMs: number | undefined;
+    private paceSamples = 0;
+    private consecutiveFailures = 0;
+    /**
+     * Monotonic times until which it backs off after a failure, and until which it is full by its own account, in
+     * milliseconds.
+     */
+    private backoffUntil = 0;
     private busyUntil = 0;
-    /** Its rests don't count, as those of most of its pool. */
-    private mayNotRest = false;
+    /** Whether it gets work despite its back-off, because most of its pool is backing off. */
+    private ignoresBackoff = false;
     private isEjected = false;
     private probedAt = 0;
     private failedProbes = 0;
 
     /**
-     * @param upstream - Whose load it is.
-     * @param coldRate - How many requests a second this process may send to it while it is cold.
-     * @param limitShare - The part of a limit that it names which is this process's to use, from 0 to 1.
+     * @param upstream - The upstream whose load this is.
+     * @param coldRequestsPerS - Requests per second that this process may send to it while it is cold.
+     * @param limitShare - Share of a limit stated by the upstream that this process may use, from 0 to 1.
      */
     constructor(
         readonly upstream: Upstream,
-        private readonly coldRate: () => number = () => Infinity,
+        private readonly coldRequestsPerS: () => number = () => Infinity,
         limitShare: () => number = () => 1,
     ) {
         this.allowance = new RequestAllowance(limitShare);
     }
 
-    /** Whether it is out as a straggler and gets single probes only. */
+    /** Whether it is excluded as a straggler and gets single probes only. */
     get ejected(): boolean {
         return this.isEjected;
     }
 
-    /** How many requests of this process run there. */
+    /** Number of requests sent by this process that are running there. */
     get ownOutstanding(): number {
-        return this.own;
+        return this.ownCount;
     }
 
-    /** Smoothed time between tokens, in milliseconds; undefined until one was seen. */
+    /** Smoothed time between tokens, in milliseconds; undefined until one was observed. */
     get tokenMs(): number | undefined {
-        return this.paceMs;
+        return this.smoothedTokenMs;
     }
 
-    /** How many times the pace was seen. */
+    /** Number of observations of the time between tokens since the last reset. */
     get paceCount(): number {
-        return this.paces;
+        return this.paceSamples;
     }
 
-    /** Requests that run or queue there now, by the best guess. */
+    /** Estimated number of requests that are running or queued there now. */
     get outstanding(): number {
-        return this.own + this.foreign();
+        return this.ownCount + this.countForeign();
     }
 
     /**
-     * How many more requests it can start at once.
+     * Returns how many more requests it can start now.
      *
      * @param now - Monotonic time, in milliseconds.
      */
     freeSlots(now: number): number {
-        if (!this.isOpen(now)) return 0;
-        const slots = this.isEjected ? this.countProbes(now) : Math.max(0, this.upstream.slots - this.outstanding);
-        const free = Math.min(slots, this.allowance.count(now));
+        if (!this.acceptsWork(now)) return 0;
+        const slots = this.isEjected ? this.countDueProbes(now) : Math.max(0, this.upstream.slots - this.outstanding);
+        const free = Math.min(slots, this.allowance.available(now));
         return this.isCold(now) ? Math.min(free, this.coldAllowance(now)) : free;
     }
 
-    /** The limit that it names in its answers, with the time at which that was heard; undefined where it names none. */
-    get limit(): NamedLimit | undefined {
-        const { perSecond, learnedAt } = this.allowance;
-        return perSecond === undefined ? undefined : { perSecond, saidAt: learnedAt };
+    /** Limit that it states in its answers, with the time of the answer; undefined if it states none. */
+    get limit(): AdvertisedLimit | undefined {
+        const { perSecond, answeredAt } = this.allowance;
+        return perSecond === undefined ? undefined : { perSecond, saidAt: answeredAt };
     }
 
     /**
-     * Takes note of the limit that an answer names.
+     * Updates the limit from an answer.
      *
-     * @param perSecond - Requests a second from all hosts together; undefined where it names none.
-     * @param saidAt - When the answer came; monotonic, in milliseconds.
+     * @param perSecond - Requests per second from all hosts together; undefined if the answer states none.
+     * @param answeredAt - Monotonic time of the answer, in milliseconds.
      */
-    learnLimit(perSecond: number | undefined, saidAt: number, now: number): void {
-        this.allowance.learn(perSecond, saidAt, now, this.starts.count(now));
+    learnLimit(perSecond: number | undefined, answeredAt: number, now: number): void {
+        this.allowance.update(perSecond, answeredAt, now, this.sendRate.count(now));
     }
 
-    /** Forgets the limit of an earlier run. */
+    /** Forgets the limit of an earlier incarnation. */
     forgetLimit(): void {
-        this.allowance.forget();
+        this.allowance.reset();
     }
 
-    /** Whether it takes nothing now by the limit that it names. */
+    /** Whether its stated limit allows no request now. */
     isAtLimit(now: number): boolean {
-        return this.allowance.count(now) === 0;
+        return this.allowance.available(now) === 0;
     }
 
-    /** Whether it takes few requests a second, being cold or by its own word: what it can take changes from moment to moment. */
+    /**
+     * Whether it takes few requests per second, because it is cold or states a limit: its free slots change with time
+     * alone.
+     */
     isThrottled(now: number): boolean {
         return this.isCold(now) || this.allowance.perSecond !== undefined;
     }
 
-    /** Whether it has just started, and bears few requests a second. */
+    /** Whether it has recently started and can serve only few requests per second. */
     isCold(now: number): boolean {
         return now < this.upstream.coldUntil;
     }
 
     /** Whether it may get work at all, busy or not. */
     isReady(now: number): boolean {
-        return this.isOpen(now) && !this.isEjected;
+        return this.acceptsWork(now) && !this.isEjected;
     }
 
     /**
-     * How many requests of ours it can run at once, busy or not. A fraction, where it takes so few that it rests between them.
+     * Returns how many requests of this process it can run concurrently, busy or not. The result is a fraction if its
+     * rate limit makes it idle between requests.
      *
-     * @param serviceMs - How long a request runs on average, in milliseconds.
+     * @param serviceMs - Average duration of a request, in milliseconds.
      */
     usableSlots(now: number, serviceMs: number): number {
         if (!this.isReady(now)) return 0;
         const { perSecond = Number.POSITIVE_INFINITY } = this.allowance;
         const slots = Math.min(
-            Math.max(0, this.upstream.slots - this.foreign()),
+            Math.max(0, this.upstream.slots - this.countForeign()),
             perSecond * serviceMs / MS_PER_SECOND,
         );
-        return this.isCold(now) ? Math.min(slots, this.coldRate()) : slots;
+        return this.isCold(now) ? Math.min(slots, this.coldRequestsPerS()) : slots;
     }
 
-    /** A request was sent. */
+    /** Records that a request was sent. */
     markSent(now: number): void {
-        this.own++;
-        this.starts.note(now);
-        this.allowance.take(now);
+        this.ownCount++;
+        this.sendRate.record(now);
+        this.allowance.consume(now);
         if (this.isEjected) this.probedAt = now;
-        this.remember(now);
+        this.recordSample(now);
     }
 
     /**
-     * A request runs there that another process sent. It is counted as ours from its start on: a report measured since
-     * then has it too, and would else be taken for the load of others, so that its slot would count as filled twice.
+     * Records a running request that another process sent. It counts as this process's own from its start on: a report
+     * measured since then includes it too, and would otherwise attribute it to others, so that its slot would count as
+     * used twice.
      */
     adopt(startedAt: number): void {
-        this.own++;
-        this.starts.note(startedAt);
-        this.foreignFrom = undefined;
+        this.ownCount++;
+        this.sendRate.record(startedAt);
+        this.foreignReport = undefined;
         const later = this.history.filter(sample => sample.at >= startedAt);
         const earlier = this.history.slice(0, this.history.length - later.length);
         const before = earlier.at(-1)?.outstanding ?? 0;
-        const shifted = later.map(({ at, outstanding }) => ({ at, outstanding: outstanding + 1 }));
-        this.history.splice(0, this.history.length, ...earlier, { at: startedAt, outstanding: before + 1 }, ...shifted);
+        const laterIncremented = later.map(({ at, outstanding }) => ({ at, outstanding: outstanding + 1 }));
+        this.history.splice(
+            0,
+            this.history.length,
+            ...earlier,
+            { at: startedAt, outstanding: before + 1 },
+            ...laterIncremented,
+        );
     }
 
-    /** A request ended, however. */
+    /** Records that a request ended, whatever the outcome. */
     markEnded(now: number): void {
-        this.own = Math.max(0, this.own - 1);
-        this.remember(now);
+        this.ownCount = Math.max(0, this.ownCount - 1);
+        this.recordSample(now);
     }
 
-    /** The upstream answered: it is not failing. */
+    /** Records that the upstream answered: it is not failing. */
     markHealthy(): void {
-        this.failures = 0;
-        this.restsUntil = 0;
+        this.consecutiveFailures = 0;
+        this.backoffUntil = 0;
         this.busyUntil = 0;
     }
 
-    /** Whether it would rest after a failure, if it may. */
-    isResting(now: number): boolean {
-        return now < this.restsUntil;
+    /** Whether it is backing off after a failure, disregarding `setIgnoresBackoff`. */
+    isBackingOff(now: number): boolean {
+        return now < this.backoffUntil;
     }
 
-    /** Sets whether it gets work though it rests: where most of its pool rests, the rest can't do the work of all. */
-    overrideRest(mayNotRest: boolean): void {
-        this.mayNotRest = mayNotRest;
+    /**
+     * Sets whether it gets work although it is backing off: if most of a pool backs off, its other members can't do the
+     * work of all.
+     */
+    setIgnoresBackoff(ignoresBackoff: boolean): void {
+        this.ignoresBackoff = ignoresBackoff;
     }
 
     /**
-     * The upstream failed a request: it rests, twice as long each time. Requests that fail while it rests were sent before
-     * it did: they tell of the same failure, and would else make one broken connection a rest of many seconds.
+     * Records that the upstream failed a request: it backs off, twice as long each time. Requests that fail during a
+     * back-off were sent before it began. They show the same failure, and counting them would turn one broken
+     * connection into a back-off of many seconds.
      */
     markFailed(now: number): void {
-        if (this.isResting(now)) return;
-        const restMs = Math.min(FAILURE_BACKOFF_MOST_MS, FAILURE_BACKOFF_MS * 2 ** this.failures);
-        this.failures = Math.min(this.failures + 1, 10);
-        this.restsUntil = now + restMs;
+        if (this.isBackingOff(now)) return;
+        const backoffMs = Math.min(MAX_FAILURE_BACKOFF_MS, INITIAL_FAILURE_BACKOFF_MS * 2 ** this.consecutiveFailures);
+        this.consecutiveFailures = Math.min(this.consecutiveFailures + 1, 10);
+        this.backoffUntil = now + backoffMs;
     }
 
-    /** The upstream refused a request, being full by its own count: it gets no other for a moment. */
+    /** Records that the upstream refused a request as full by its own count: it gets no other for a short time. */
     markBusy(now: number): void {
-        this.busyUntil = Math.max(this.busyUntil, now + BUSY_MS);
+        this.busyUntil = Math.max(this.busyUntil, now + BUSY_BACKOFF_MS);
     }
 
-    /** Learns the time between tokens that a request saw, in milliseconds. */
+    /** Updates the smoothed time between tokens with one observed by a request, in milliseconds. */
     learnPace(tokenMs: number): void {
-        this.paces++;
-        this.paceMs = this.paceMs === undefined ? tokenMs : this.paceMs + PACE_WEIGHT * (tokenMs - this.paceMs);
+        this.paceSamples++;
+        this.smoothedTokenMs = this.smoothedTokenMs === undefined
+            ? tokenMs
+            : this.smoothedTokenMs + PACE_SMOOTHING * (tokenMs - this.smoothedTokenMs);
     }
 
-    /** Takes it out as a straggler, or once more after a probe that was slow: the next probe waits twice as long. */
+    /** Ejects it as a straggler, or again after a slow probe: the interval to the next probe doubles. */
     eject(now: number): void {
         this.failedProbes = this.isEjected ? this.failedProbes + 1 : 0;
         this.isEjected = true;
@@ -233,77 +254,81 @@
         this.forgetPace();
     }
 
-    /** Takes it back: it gets its full share again. */
+    /** Readmits it with its full share of work. */
     restore(): void {
         this.isEjected = false;
         this.forgetPace();
     }
 
-    private isOpen(now: number): boolean {
+    private acceptsWork(now: number): boolean {
         if (!this.upstream.isGrantable || now < this.busyUntil) return false;
-        return this.mayNotRest || !this.isResting(now);
+        return this.ignoresBackoff || !this.isBackingOff(now);
     }
 
     private forgetPace(): void {
-        this.paceMs = undefined;
-        this.paces = 0;
+        this.smoothedTokenMs = undefined;
+        this.paceSamples = 0;
     }
 
-    private countProbes(now: number): number {
-        return this.own === 0 && this.isProbeDue(now) ? 1 : 0;
+    private countDueProbes(now: number): number {
+        return this.ownCount === 0 && this.isProbeDue(now) ? 1 : 0;
     }
 
     /**
-     * Guards against an upstream that crashes under the load of the whole pool as soon as it has started: it gets no more within any second
-     * than it bears.
+     * Returns how many requests it can take now as a cold upstream. Within any second it gets no more than it can
+     * serve: without this limit, an upstream that has just started crashes under the load of the whole pool.
      */
     private coldAllowance(now: number): number {
-        return Math.max(0, this.coldRate() - this.starts.count(now));
+        return Math.max(0, this.coldRequestsPerS() - this.sendRate.count(now));
     }
 
     private isProbeDue(now: number): boolean {
-        return now - this.probedAt >= Math.min(PROBE_MOST_MS, PROBE_EVERY_MS * 2 ** this.failedProbes);
+        return now - this.probedAt
+            >= Math.min(MAX_PROBE_INTERVAL_MS, INITIAL_PROBE_INTERVAL_MS * 2 ** this.failedProbes);
     }
 
-    private foreign(): number {
+    private countForeign(): number {
         const { announcement, loadMeasuredAt } = this.upstream;
-        if (this.foreignFrom !== announcement) {
+        if (this.foreignReport !== announcement) {
             const { running, queued } = announcement.load;
-            this.foreignCount = Math.max(0, running + queued - this.ownAt(loadMeasuredAt));
-            this.foreignFrom = announcement;
+            this.foreignCount = Math.max(0, running + queued - this.maxOwnAround(loadMeasuredAt));
+            this.foreignReport = announcement;
         }
         return this.foreignCount;
     }
 
-    /** The most that this process had outstanding around a moment: a report races with what was just sent or ended. */
-    private ownAt(at: number): number {
-        let most = 0;
+    /**
+     * Returns the highest number of requests that this process had outstanding around a time: a report races with
+     * requests that were just sent or ended.
+     */
+    private maxOwnAround(at: number): number {
+        let max = 0;
         for (let index = this.history.length - 1; index >= 0; index--) {
             const sample = this.history[index];
-            if (sample.at > at + FLIGHT_MS) continue;
-            most = Math.max(most, sample.outstanding);
-            if (sample.at <= at - FLIGHT_MS) break;
+            if (sample.at > at + REPORT_SKEW_MS) continue;
+            max = Math.max(max, sample.outstanding);
+            if (sample.at <= at - REPORT_SKEW_MS) break;
         }
-        return most;
+        return max;
     }
 
-    private remember(now: number): void {
-        if (now <= this.upstream.loadMeasuredAt + FLIGHT_MS) this.foreignFrom = undefined;
+    private recordSample(now: number): void {
+        if (now <= this.upstream.loadMeasuredAt + REPORT_SKEW_MS) this.foreignReport = undefined;
         const last = this.history.at(-1);
         if (last?.at === now) this.history.pop();
-        this.history.push({ at: now, outstanding: this.own });
-        if (this.history.length < HISTORY_TRIM) return;
+        this.history.push({ at: now, outstanding: this.ownCount });
+        if (this.history.length < MAX_SAMPLE_COUNT) return;
         const firstKept = this.history.findIndex(sample => sample.at >= now - HISTORY_MS);
-        this.history.splice(0, Math.max(firstKept - 1, this.history.length - HISTORY_TRIM / 2));
+        this.history.splice(0, Math.max(firstKept - 1, this.history.length - MAX_SAMPLE_COUNT / 2));
     }
 }
 
-/** How long an upstream that is full is left alone, in milliseconds: about the time in which one of its requests ends. */
-const BUSY_MS = 50;
-/** How far a request's flight can shift it against a report, in milliseconds. */
-const FLIGHT_MS = 20;
-/** How soon an ejected upstream gets one request to show its pace, at first and at the latest, in milliseconds. */
-const PROBE_EVERY_MS = 2_000;
-const PROBE_MOST_MS = 60_000;
-const HISTORY_TRIM = 256;
+/** Time for which a full upstream gets no request, in milliseconds: about the time until one of its requests ends. */
+const BUSY_BACKOFF_MS = 50;
+/** Maximum shift between the sending or end of a request and its appearance in a report, in milliseconds. */
+const REPORT_SKEW_MS = 20;
+/** Initial and maximum time between the probes by which an ejected upstream shows its speed, in milliseconds. */
+const INITIAL_PROBE_INTERVAL_MS = 2_000;
+const MAX_PROBE_INTERVAL_MS = 60_000;
+const MAX_SAMPLE_COUNT = 256;
 const MS_PER_SECOND = 1_000;
--- a/src/upstream/members/index.ts
+++ b/src/upstream/members/index.ts
@@ -1,39 +1,39 @@
 import { PoolId, UpstreamId } from "../../ids/index.js";
 import { Clock, Random } from "../../ports/index.js";
 import { UpstreamLoad } from "../load/index.js";
-import { UpstreamRegistry } from "../registry/index.js";
 import { Upstream } from "../upstream/index.js";
+import { UpstreamRegistry } from "../upstreamRegistry/index.js";
 
 /**
- * The upstreams of one pool with their load. The count of free slots is kept as a sum, so that a decision does not
- * cost more when the pool is large.
+ * The upstreams of one pool with their load. The number of free slots is maintained as a sum, so that the cost of a
+ * decision does not grow with the pool.
  */
 export class PoolMembers {
     private readonly clock: Clock;
     private readonly loads = new Map<UpstreamId, UpstreamLoad>();
-    private readonly free = new Map<UpstreamId, number>();
-    private readonly usable = new Map<UpstreamId, number>();
-    private order: UpstreamLoad[] = [];
+    private readonly freeSlotsById = new Map<UpstreamId, number>();
+    private readonly usableSlotsById = new Map<UpstreamId, number>();
+    private members: UpstreamLoad[] = [];
     private readonly freeList: UpstreamLoad[] = [];
-    private readonly freePlaces = new Map<UpstreamLoad, number>();
-    /** Members that rest after failures, and whether so many do that they get work all the same. */
-    private readonly resting = new Set<UpstreamLoad>();
-    private mostRest = false;
-    /** Members that take few requests a second: how many they can take now changes from moment to moment. */
+    private readonly freeListIndexes = new Map<UpstreamLoad, number>();
+    /** Members backing off after failures, and whether these are so many that they get work nevertheless. */
+    private readonly backingOff = new Set<UpstreamLoad>();
+    private mostBackOff = false;
+    /** Members that take few requests per second: their free slots change with time alone. */
     private readonly throttled = new Set<UpstreamLoad>();
-    private serviceMs = (): number => DEFAULT_SERVICE_MS;
+    private meanServiceMs = (): number => DEFAULT_MEAN_SERVICE_MS;
     private freeTotal = 0;
     private usableTotal = 0;
 
-    /** @param options - The pool and what is known of upstreams. */
+    /** @param options - The pool, and the registry of its upstreams. */
     constructor(
         private readonly options: {
             readonly clock: Clock;
             readonly registry: UpstreamRegistry;
             readonly pool: PoolId;
-            /** How many requests a second this process may send to an upstream that is cold. */
+            /** Requests per second that this process may send to a cold upstream. */
             readonly coldRate?: () => number;
-            /** The part of a limit that an upstream names which is this process's to use, from 0 to 1. */
+            /** Share of a limit stated by an upstream that this process may use, from 0 to 1. */
             readonly limitShare?: () => number;
         },
     ) {
@@ -41,23 +41,23 @@
         for (const upstream of options.registry.list(options.pool)) this.update(upstream);
     }
 
-    /** Slots that can take a request now, over the pool. */
+    /** Number of slots over the whole pool that can take a request now. */
     get freeSlots(): number {
         return this.freeTotal;
     }
 
-    /** Whether any member may get work at all, be they all busy with others' requests. */
+    /** Whether any member may get work at all, even if all are busy with requests of others. */
     hasReady(): boolean {
         const now = this.clock.monotonic();
-        return this.usableTotal > 0 || this.order.some(load => load.isReady(now));
+        return this.usableTotal > 0 || this.members.some(load => load.isReady(now));
     }
 
     /** All members that were not forgotten. */
     get all(): readonly UpstreamLoad[] {
-        return this.order;
+        return this.members;
     }
 
-    /** Slots of the members that may get work, busy or not. */
+    /** Number of slots of the members that may get work, busy or not. */
     get usableSlots(): number {
         return this.usableTotal;
     }
@@ -66,19 +66,25 @@
         return this.loads.get(id);
     }
 
-    /** Sets how long a request runs on average, in milliseconds: by it a limit on requests a second is counted as slots. */
-    useServiceTime(serviceMs: () => number): void {
-        this.serviceMs = serviceMs;
+    /**
+     * Sets the average duration of a request in milliseconds, by which a limit on requests per second is converted to
+     * slots.
+     */
+    useServiceTime(meanServiceMs: () => number): void {
+        this.meanServiceMs = meanServiceMs;
     }
 
-    /** What limits that members name have to do with a decision made now, for `sequoiamux explain`; nothing as a rule. */
+    /**
+     * Describes the effect of upstreams' stated limits on a decision made now, for `sequoiamux explain`; empty if there
+     * is none.
+     */
     describeLimits(): string {
         const now = this.clock.monotonic();
         const count = [...this.throttled].filter(load => load.isReady(now) && load.isAtLimit(now)).length;
         return count === 0 ? "" : `, upstreams at their limit: ${count}`;
     }
 
-    /** Takes over a change that the registry told of. */
+    /** Applies a change reported by the registry. */
     update(upstream: Upstream): void {
         if (!upstream.pools.includes(this.options.pool)) {
             this.remove(upstream.id);
@@ -92,71 +98,74 @@
         this.remove(upstream.id);
         const load = new UpstreamLoad(upstream, this.options.coldRate, this.options.limitShare);
         this.loads.set(upstream.id, load);
-        this.order.push(load);
+        this.members.push(load);
         this.refresh(load);
     }
 
-    /** Counts a member's free slots anew. */
+    /** Recounts a member's free slots. */
     refresh(load: UpstreamLoad): void {
         const now = this.clock.monotonic();
-        if (load.isResting(now)) this.resting.add(load);
-        else this.resting.delete(load);
-        const mostRest = this.doMostRest();
-        if (mostRest === this.mostRest) {
-            this.count(load, now);
+        if (load.isBackingOff(now)) this.backingOff.add(load);
+        else this.backingOff.delete(load);
+        const mostBackOff = this.doMostBackOff();
+        if (mostBackOff === this.mostBackOff) {
+            this.recount(load, now);
             return;
         }
-        this.mostRest = mostRest;
-        for (const each of this.order) this.count(each, now);
+        this.mostBackOff = mostBackOff;
+        for (const each of this.members) this.recount(each, now);
     }
 
     /**
-     * Guards against a pool that stands still for one failure: where one upstream is left, or all fail a call now and then, resting them
-     * all makes every caller wait. A few that rest are done without.
+     * Prevents a pool from stalling after a single failure: with one upstream left, or with all of them failing a call
+     * occasionally, backing off all of them would make every caller wait. A minority that backs off can be spared.
      */
-    private doMostRest(): boolean {
-        if (this.resting.size === 0) return false;
-        const grantable = this.order.filter(({ upstream }) => upstream.isGrantable);
-        return 2 * grantable.filter(load => this.resting.has(load)).length > grantable.length;
+    private doMostBackOff(): boolean {
+        if (this.backingOff.size === 0) return false;
+        const grantable = this.members.filter(({ upstream }) => upstream.isGrantable);
+        return 2 * grantable.filter(load => this.backingOff.has(load)).length > grantable.length;
     }
 
-    private count(load: UpstreamLoad, now: number): void {
+    private recount(load: UpstreamLoad, now: number): void {
         const { id } = load.upstream;
         if (load.isThrottled(now)) this.throttled.add(load);
         else this.throttled.delete(load);
-        load.overrideRest(this.mostRest);
+        load.setIgnoresBackoff(this.mostBackOff);
         const free = load.freeSlots(now);
-        this.freeTotal += free - (this.free.get(id) ?? 0);
-        this.free.set(id, free);
-        this.listAsFree(load, free > 0);
-        const usable = load.usableSlots(now, this.serviceMs());
-        this.usableTotal += usable - (this.usable.get(id) ?? 0);
-        this.usable.set(id, usable);
+        this.freeTotal += free - (this.freeSlotsById.get(id) ?? 0);
+        this.freeSlotsById.set(id, free);
+        this.setListedAsFree(load, free > 0);
+        const usable = load.usableSlots(now, this.meanServiceMs());
+        this.usableTotal += usable - (this.usableSlotsById.get(id) ?? 0);
+        this.usableSlotsById.set(id, usable);
     }
 
-    /** Counts the free slots of throttled members anew: they take some more requests each moment. */
+    /** Recounts the free slots of throttled members, which grow with time. */
     refreshThrottled(): void {
         for (const load of [...this.throttled]) this.refresh(load);
     }
 
-    /** Counts all free slots anew, for what time alone changes, and drops members that the registry forgot. */
+    /**
+     * Recounts all free slots, since some change with time alone, and drops members that the registry has forgotten.
+     */
     refreshAll(): void {
-        for (const load of [...this.order]) {
+        for (const load of [...this.members]) {
             if (this.options.registry.get(load.upstream.id) === load.upstream) this.refresh(load);
             else this.remove(load.upstream.id);
         }
     }
 
     /**
-     * Members that can take a request now.
+     * Returns members that can take a request now.
      *
-     * @param most - How many at the most; a larger pool is sampled, as a few good choices are nearly as good as all.
-     * @param random - Picks the sample.
+     * @param max - Maximum number of members; a larger pool is sampled, as a few good candidates are nearly as good as
+     * all.
+     * @param random - Draws the sample.
      */
-    candidates(most: number, random: Random): UpstreamLoad[] {
-        if (this.freeList.length <= most) return [...this.freeList];
+    candidates(max: number, random: Random): UpstreamLoad[] {
+        if (this.freeList.length <= max) return [...this.freeList];
         const found = new Set<UpstreamLoad>();
-        for (let tries = 0; tries < SAMPLE_TRIES * most && found.size < most; tries++) {
+        for (let tries = 0; tries < SAMPLE_TRIES_PER_CANDIDATE * max && found.size < max; tries++) {
             found.add(random.pick(this.freeList));
         }
         return [...found];
@@ -164,39 +173,39 @@
 
     /** Whether a member can take a request now. */
     isFree(load: UpstreamLoad): boolean {
-        return this.freePlaces.has(load);
+        return this.freeListIndexes.has(load);
     }
 
-    private listAsFree(load: UpstreamLoad, isFree: boolean): void {
-        const place = this.freePlaces.get(load);
-        if (isFree === (place !== undefined)) return;
-        if (place === undefined) {
-            this.freePlaces.set(load, this.freeList.length);
+    private setListedAsFree(load: UpstreamLoad, isFree: boolean): void {
+        const index = this.freeListIndexes.get(load);
+        if (isFree === (index !== undefined)) return;
+        if (index === undefined) {
+            this.freeListIndexes.set(load, this.freeList.length);
             this.freeList.push(load);
             return;
         }
         const last = this.freeList.pop()!;
-        this.freePlaces.delete(load);
+        this.freeListIndexes.delete(load);
         if (last === load) return;
-        this.freeList[place] = last;
-        this.freePlaces.set(last, place);
+        this.freeList[index] = last;
+        this.freeListIndexes.set(last, index);
     }
 
     private remove(id: UpstreamId): void {
         const load = this.loads.get(id);
         if (!load) return;
-        this.freeTotal -= this.free.get(id) ?? 0;
-        this.usableTotal -= this.usable.get(id) ?? 0;
-        this.listAsFree(load, false);
-        this.resting.delete(load);
+        this.freeTotal -= this.freeSlotsById.get(id) ?? 0;
+        this.usableTotal -= this.usableSlotsById.get(id) ?? 0;
+        this.setListedAsFree(load, false);
+        this.backingOff.delete(load);
         this.throttled.delete(load);
-        this.free.delete(id);
-        this.usable.delete(id);
+        this.freeSlotsById.delete(id);
+        this.usableSlotsById.delete(id);
         this.loads.delete(id);
-        this.order = this.order.filter(other => other !== load);
+        this.members = this.members.filter(other => other !== load);
     }
 }
 
-const SAMPLE_TRIES = 2;
-/** Assumed until it is told how long requests run, in milliseconds. */
-const DEFAULT_SERVICE_MS = 1_000;
+const SAMPLE_TRIES_PER_CANDIDATE = 2;
+/** Used until `useServiceTime` provides the average duration of requests, in milliseconds. */
+const DEFAULT_MEAN_SERVICE_MS = 1_000;
--- a/src/upstream/members/test.ts
+++ b/src/upstream/members/test.ts
@@ -4,7 +4,7 @@
 import { VirtualClock } from "../../ports/index.js";
 import { makeAnnouncement } from "../fixtures/index.js";
 import { UpstreamLoad } from "../load/index.js";
-import { UpstreamRegistry } from "../registry/index.js";
+import { UpstreamRegistry } from "../upstreamRegistry/index.js";
 import { PoolMembers } from "./index.js";
 
 const POOL = "ledger" as PoolId;
@@ -23,21 +23,21 @@
 }
 
 describe("PoolMembers", () => {
-    it("does without an upstream that rests after a failure while others are there", () => {
+    it("spares an upstream that backs off after a failure while others are available", () => {
         const { members, fail } = makeMembers(["a", "b", "c"]);
         fail(members.all[0]);
         assert.equal(members.freeSlots, 2 * SLOTS);
     });
 
-    it("gives work to upstreams that rest where most of the pool does", () => {
-        // Seat look-ups wait for half a second, again and again. Two of three ledgers were taken away, and each call that runs into its own
-        // short deadline sends the last one to rest, with nothing wrong with it.
+    it("gives work to upstreams that back off if most of the pool does", () => {
+        // Requests repeatedly wait for half a second: two of three upstreams were removed, and each call that exceeds
+        // its own short deadline makes the last one back off although it is healthy.
         const { members, fail } = makeMembers(["last"]);
         fail(members.all[0]);
         assert.equal(members.freeSlots, SLOTS);
     });
 
-    it("lets them rest again once others have come back", async () => {
+    it("lets them back off again once others have recovered", async () => {
         const { clock, members, fail } = makeMembers(["a", "b", "c"]);
         fail(members.all[0]);
         fail(members.all[1]);
@@ -49,21 +49,21 @@
     });
 
     describe("a zone's evacuation", () => {
-        const COLD_RATE = 2;
+        const COLD_REQUESTS_PER_S = 2;
         const VOGAR = "vogar" as ZoneId;
 
-        function makeZones() {
+        function makeZonedMembers() {
             const clock = new VirtualClock();
             const registry = new UpstreamRegistry({ clock });
             registry.announce(makeAnnouncement({ id: "a", pools: [POOL], slots: SLOTS, zone: VOGAR }));
             registry.announce(makeAnnouncement({ id: "b", pools: [POOL], slots: SLOTS, zone: "keflavik" }));
-            const members = new PoolMembers({ clock, registry, pool: POOL, coldRate: () => COLD_RATE });
+            const members = new PoolMembers({ clock, registry, pool: POOL, coldRate: () => COLD_REQUESTS_PER_S });
             registry.onChange(upstream => members.update(upstream));
             return { clock, registry, members };
         }
 
-        it("takes its upstreams out, also those that come later", () => {
-            const { registry, members } = makeZones();
+        it("excludes its upstreams, even those that announce themselves later", () => {
+            const { registry, members } = makeZonedMembers();
             registry.setEvacuatedZones([VOGAR], () => 0);
             assert.equal(members.freeSlots, SLOTS);
             registry.announce(makeAnnouncement({ id: "c", pools: [POOL], slots: SLOTS, zone: VOGAR }));
@@ -71,14 +71,14 @@
             assert.equal(members.freeSlots, SLOTS);
         });
 
-        it("takes them back as if they were cold, whatever they said before", async () => {
-            // Guards against upstreams that became cold in an evacuated zone, and are overrun before they say so.
-            const { clock, registry, members } = makeZones();
+        it("readmits them as cold, whatever they announced before", async () => {
+            // Prevents upstreams that became cold in an evacuated zone from being overloaded before they announce it.
+            const { clock, registry, members } = makeZonedMembers();
             registry.setEvacuatedZones([VOGAR], () => 3_000);
             registry.setEvacuatedZones([], () => 3_000);
-            assert.equal(members.freeSlots, SLOTS + COLD_RATE);
+            assert.equal(members.freeSlots, SLOTS + COLD_REQUESTS_PER_S);
             registry.announce(makeAnnouncement({ id: "a", pools: [POOL], slots: SLOTS, zone: VOGAR, sequence: 2 }));
-            assert.equal(members.freeSlots, SLOTS + COLD_RATE);
+            assert.equal(members.freeSlots, SLOTS + COLD_REQUESTS_PER_S);
             await clock.advance(3_000);
             members.refreshThrottled();
             assert.equal(members.freeSlots, 2 * SLOTS);
--- a/src/upstream/memoryUse/index.ts
+++ b/src/upstream/memoryUse/index.ts
@@ -1,7 +1,7 @@
 import { ChoiceRequest } from "../choice/index.js";
 
-/** What of a request takes memory at the upstream that runs it. */
-export type MemoryShape = Pick<ChoiceRequest, "parts" | "promptTokens" | "predictedTokens">;
+/** Properties of a request that determine how much KV cache memory it needs. */
+export type MemoryDemand = Pick<ChoiceRequest, "parts" | "promptTokens" | "predictedTokens">;
 
 interface PartInUse {
     readonly tokens: number;
@@ -9,64 +9,64 @@
 }
 
 /**
- * The tokens that one upstream's running requests keep in its memory: their prompts and what they will answer, with the parts that several
- * of them begin with counted once.
+ * Number of tokens that one upstream's running requests keep in its memory: their prompts and predicted answers, with
+ * shared leading parts counted once.
  *
  * @example
  * use.add(request);
- * use.tokensFor(next); // what would be kept with another one
+ * use.tokensFor(next); // tokens that another request would add
  */
 export class MemoryUse {
-    private own = 0;
-    private shared = 0;
+    private unsharedTokens = 0;
+    private sharedTokens = 0;
     private readonly parts = new Map<string, PartInUse>();
 
-    /** Tokens that are kept now. */
+    /** Tokens kept now. */
     get tokens(): number {
-        return this.own + this.shared;
+        return this.unsharedTokens + this.sharedTokens;
     }
 
-    /** Tokens that a request would add. */
-    tokensFor(request: MemoryShape): number {
-        let tokens = ownTokens(request);
-        for (const { id, tokens: size } of sharedParts(request)) {
-            if (!this.parts.has(id)) tokens += size;
+    /** Returns the tokens that a request would add. */
+    tokensFor(request: MemoryDemand): number {
+        let tokens = countUnsharedTokens(request);
+        for (const { id, tokens: partTokens } of listSharedParts(request)) {
+            if (!this.parts.has(id)) tokens += partTokens;
         }
         return tokens;
     }
 
-    /** A request begins there. */
-    add(request: MemoryShape): void {
-        this.own += ownTokens(request);
-        for (const { id, tokens } of sharedParts(request)) {
+    /** Adds a request that starts there. */
+    add(request: MemoryDemand): void {
+        this.unsharedTokens += countUnsharedTokens(request);
+        for (const { id, tokens } of listSharedParts(request)) {
             const part = this.parts.get(id);
             if (part) {
                 part.requests++;
                 continue;
             }
             this.parts.set(id, { tokens, requests: 1 });
-            this.shared += tokens;
+            this.sharedTokens += tokens;
         }
     }
 
-    /** A request that was added has ended. */
-    remove(request: MemoryShape): void {
-        this.own -= ownTokens(request);
-        for (const { id } of sharedParts(request)) {
+    /** Removes an added request that has ended. */
+    remove(request: MemoryDemand): void {
+        this.unsharedTokens -= countUnsharedTokens(request);
+        for (const { id } of listSharedParts(request)) {
             const part = this.parts.get(id);
             if (!part || --part.requests > 0) continue;
             this.parts.delete(id);
-            this.shared -= part.tokens;
+            this.sharedTokens -= part.tokens;
         }
     }
 }
 
-function ownTokens(request: MemoryShape): number {
-    const shared = sharedParts(request).reduce((sum, { tokens }) => sum + tokens, 0);
+function countUnsharedTokens(request: MemoryDemand): number {
+    const shared = listSharedParts(request).reduce((sum, { tokens }) => sum + tokens, 0);
     return Math.max(0, request.promptTokens - shared) + request.predictedTokens;
 }
 
-/** All but the last, which is the request's own. */
-function sharedParts({ parts }: MemoryShape): MemoryShape["parts"] {
+/** Returns all parts but the last, which is the request's own. */
+function listSharedParts({ parts }: MemoryDemand): MemoryDemand["parts"] {
     return parts.length > 1 ? parts.slice(0, -1) : [];
 }
--- a/src/upstream/memoryUse/test.ts
+++ b/src/upstream/memoryUse/test.ts
@@ -2,29 +2,29 @@
 import { describe, it } from "node:test";
 import { MemoryUse } from "./index.js";
 
-const SHEET = { id: "sheet", tokens: 6_000 };
+const SHARED_PART = { id: "sheet", tokens: 6_000 };
 
-function makeShape(own: string) {
-    return { parts: [SHEET, { id: own, tokens: 500 }], promptTokens: 6_500, predictedTokens: 100 };
+function makeDemand(own: string) {
+    return { parts: [SHARED_PART, { id: own, tokens: 500 }], promptTokens: 6_500, predictedTokens: 100 };
 }
 
 describe("MemoryUse", () => {
     it("counts a part that several requests begin with once", () => {
         const use = new MemoryUse();
-        assert.equal(use.tokensFor(makeShape("a")), 6_600);
-        use.add(makeShape("a"));
-        assert.equal(use.tokensFor(makeShape("b")), 600);
-        use.add(makeShape("b"));
+        assert.equal(use.tokensFor(makeDemand("a")), 6_600);
+        use.add(makeDemand("a"));
+        assert.equal(use.tokensFor(makeDemand("b")), 600);
+        use.add(makeDemand("b"));
         assert.equal(use.tokens, 7_200);
     });
 
     it("frees a shared part with the last request that has it", () => {
         const use = new MemoryUse();
-        use.add(makeShape("a"));
-        use.add(makeShape("b"));
-        use.remove(makeShape("a"));
+        use.add(makeDemand("a"));
+        use.add(makeDemand("b"));
+        use.remove(makeDemand("a"));
         assert.equal(use.tokens, 6_600);
-        use.remove(makeShape("b"));
+        use.remove(makeDemand("b"));
         assert.equal(use.tokens, 0);
     });
 
--- a/src/upstream/partsPlacement/index.ts
+++ b/src/upstream/partsPlacement/index.ts
@@ -4,20 +4,21 @@
 import { UpstreamLoad } from "../load/index.js";
 import { PromptCache, PromptPart } from "../promptCache/index.js";
 
-/** Fewer tokens are read sooner than fetched. */
-const LEAST_FETCHED_TOKENS = 1_000;
-/** Parts that were used within this time will probably be used again soon, in milliseconds. */
-const HOT_MS = 10_000;
+/** Below this number of tokens, recomputing is faster than fetching. */
+const MIN_FETCHED_TOKENS = 1_000;
+/** Parts used within this time will probably be used again soon, in milliseconds. */
+const RECENT_USE_MS = 10_000;
 
-/** Where the parts of prompts that others may begin with too are, and where they belong. */
+/** Locates the shared parts of prompts: which upstreams hold them and which one should. */
 export class PartsPlacement {
     constructor(private readonly cache: PromptCache) {}
 
     /**
-     * Where parts belong that nobody is known to hold: the candidate with the highest hash of them and its own id, the same one for each
-     * owner of the queue. Undefined where a candidate holds some.
+     * Returns the upstream on which parts belong that no upstream is known to hold, by rendezvous hashing: the
+     * candidate with the highest hash of the parts and its own id, which is the same for each owner of the queue.
+     * Undefined if a candidate holds some of them.
      *
-     * @param holders - The upstreams that hold some of them.
+     * @param holders - Upstreams that hold some of the parts.
      */
     findHome(
         candidates: readonly UpstreamLoad[],
@@ -39,13 +40,14 @@
     }
 
     /**
-     * An upstream from which the chosen one should fetch shared parts.
+     * Finds an upstream from which the chosen one should fetch shared parts.
      *
-     * Only parts that were used of late: their next use is near, while moving what is not used again costs more than reading it once.
-     * Only from an upstream that has certainly read them: one that is still reading them has nothing to give. One that leaves is as good a
-     * source as any until it has gone, and the only one for what it alone holds.
+     * Considers only recently used parts: these will be needed again soon, while transferring parts that are not used
+     * again costs more than recomputing them once. Considers only upstreams that have certainly finished the prefill:
+     * one that is still at it has nothing to transfer. A leaving upstream is as good a source as any until it has gone,
+     * and the only one for parts that it alone holds.
      *
-     * @param findSource - Finds an upstream that is there and answers; it may be the chosen one.
+     * @param findSource - Finds an upstream that is present and responsive; it may be the chosen one.
      */
     findFetch(
         chosen: UpstreamLoad,
@@ -53,12 +55,12 @@
         parts: readonly PromptPart[],
         now: number,
     ): PartsFetch | undefined {
-        const held = this.cache.heldTokens(parts, chosen.upstream.id);
-        const hot = { isRead: true, usedAfter: now - HOT_MS };
+        const chosenTokens = this.cache.heldTokens(parts, chosen.upstream.id);
+        const recentlyUsed = { isPrefilled: true, usedAfter: now - RECENT_USE_MS };
         let best: PartsFetch | undefined;
-        for (const [id, heldThere] of this.cache.listHolders(parts, hot)) {
-            const tokens = heldThere - held;
-            if (tokens < LEAST_FETCHED_TOKENS || tokens <= (best?.tokens ?? 0)) continue;
+        for (const [id, holderTokens] of this.cache.listHolders(parts, recentlyUsed)) {
+            const tokens = holderTokens - chosenTokens;
+            if (tokens < MIN_FETCHED_TOKENS || tokens <= (best?.tokens ?? 0)) continue;
             const from = findSource(id);
             if (from && from !== chosen) best = { from, tokens };
         }
--- a/src/upstream/prefillClock/index.ts
+++ b/src/upstream/prefillClock/index.ts
@@ -1,89 +1,95 @@
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
 
-/** Predictions below this are all base, and say nothing of the upstream's speed, in milliseconds. */
-const TELLING_MS = 20;
-/** How much one observation may change what is believed of an upstream's speed. */
-const LEARN_WEIGHT = 0.08;
-/** How many times as long as its neighbours an upstream may be believed to take. */
-const LEAST_SLOWNESS = 0.1;
-const MOST_SLOWNESS = 20;
+/**
+ * Predictions shorter than this are dominated by the base time and carry no information about the upstream's speed, in
+ * milliseconds.
+ */
+const MIN_INFORMATIVE_MS = 20;
+/** Weight of one observation in the estimate of an upstream's slowness. */
+const LEARNING_RATE = 0.08;
+/** Bounds of an upstream's slowness, as a multiple of the pool's average time. */
+const MIN_SLOWNESS = 0.1;
+const MAX_SLOWNESS = 20;
 
-/** A prompt that an engine has got, up to its first token. */
+/** A prompt sent to an engine whose first token has not arrived. */
 export interface PendingPrefill {
     readonly work: PrefillWork;
-    /** Monotonic, in milliseconds. */
+    /** Monotonic time, in milliseconds. */
     readonly sentAt: number;
-    /** How long reading the prompt itself was predicted to take, in milliseconds. */
-    readonly readMs: number;
-    /** How long reading what was before it and the prompt itself was predicted to take, in milliseconds. */
+    /** Predicted duration of this prompt's own prefill, in milliseconds. */
+    readonly prefillMs: number;
+    /** Predicted duration of the backlog and this prompt's own prefill together, in milliseconds. */
     readonly predictedMs: number;
-    /** There was nothing else to read. */
-    readonly isAlone: boolean;
+    /** Whether no other prefill was pending when it was sent. */
+    readonly wasIdle: boolean;
 }
 
 /**
- * When one engine will have read the prompts that it has got. Engines read them one after the other, so this is a queue with a
- * length in time; each first token corrects it, and what is known of the engine's speed.
+ * Estimates when one engine will have prefilled the prompts sent to it. Engines process prompts one after the other, so
+ * the queue's length is a duration; each first token corrects it and the estimate of the engine's speed.
  */
-export class PrefillClock {
-    private busyUntil = 0;
+export class PrefillQueue {
+    private drainedAt = 0;
     private readonly pending = new Set<PendingPrefill>();
-    /** How many times as long as the pool's upstreams it takes. */
+    /** Factor by which it takes longer than the average upstream of the pool. */
     private slowness = 1;
 
     constructor(private readonly model: PrefillModel) {}
 
-    /** How long it takes to read so much, in milliseconds. */
-    readMs(work: PrefillWork): number {
-        return this.slowness * this.model.readMs(work);
+    /** Returns the duration of a prefill on this engine, in milliseconds. */
+    prefillMs(work: PrefillWork): number {
+        return this.slowness * this.model.prefillMs(work);
     }
 
-    /** How long what the engine has got will still take it, in milliseconds. */
+    /** Returns the remaining duration of all pending prefill, in milliseconds. */
     backlogMs(now: number): number {
-        return Math.max(0, this.busyUntil - now);
+        return Math.max(0, this.drainedAt - now);
     }
 
-    /** How long a prompt sent now would take to its first token, in milliseconds. */
-    predictMs(work: PrefillWork, now: number): number {
-        return this.model.baseMs + this.backlogMs(now) + this.readMs(work);
+    /** Predicts the time to first token of a prompt sent now, in milliseconds. */
+    predictFirstTokenMs(work: PrefillWork, now: number): number {
+        return this.model.baseMs + this.backlogMs(now) + this.prefillMs(work);
     }
 
-    /** A prompt with so much to read is sent. */
-    begin(work: PrefillWork, now: number): PendingPrefill {
-        const readMs = this.readMs(work);
-        const predictedMs = this.backlogMs(now) + readMs;
-        this.busyUntil = now + predictedMs;
-        const prefill = { work, sentAt: now, readMs, predictedMs, isAlone: this.pending.size === 0 };
+    /** Records that a prompt has been sent. */
+    add(work: PrefillWork, now: number): PendingPrefill {
+        const prefillMs = this.prefillMs(work);
+        const predictedMs = this.backlogMs(now) + prefillMs;
+        this.drainedAt = now + predictedMs;
+        const prefill = { work, sentAt: now, prefillMs, predictedMs, wasIdle: this.pending.size === 0 };
         this.pending.add(prefill);
         return prefill;
     }
 
-    /** The first token of a prompt has come. */
+    /** Records that the first token of a prompt has arrived, and learns from its timing. */
     finish(prefill: PendingPrefill, now: number): void {
-        const { work, sentAt, predictedMs, isAlone } = prefill;
+        const { work, sentAt, predictedMs, wasIdle } = prefill;
         const tookMs = Math.max(0, now - sentAt);
         const baseMs = this.model.baseMs;
-        if (isAlone) this.model.learn(work, tookMs / this.slowness);
-        if (predictedMs >= TELLING_MS) {
+        if (wasIdle) this.model.learn(work, tookMs / this.slowness);
+        if (predictedMs >= MIN_INFORMATIVE_MS) {
             const error = Math.max(-1, Math.min(1, (tookMs - baseMs) / predictedMs - 1));
-            const corrected = this.slowness * (1 + LEARN_WEIGHT * error);
-            this.slowness = Math.max(LEAST_SLOWNESS, Math.min(MOST_SLOWNESS, corrected));
+            const corrected = this.slowness * (1 + LEARNING_RATE * error);
+            this.slowness = Math.max(MIN_SLOWNESS, Math.min(MAX_SLOWNESS, corrected));
         }
-        this.end(prefill, now);
-        this.follow(now - baseMs);
+        this.remove(prefill, now);
+        this.rescheduleRest(now - baseMs);
     }
 
-    /** A prompt is no longer read, whatever became of it. */
-    end(prefill: PendingPrefill, now: number): void {
+    /** Removes a prompt whose prefill is over, for whatever reason. */
+    remove(prefill: PendingPrefill, now: number): void {
         this.pending.delete(prefill);
-        if (this.pending.size === 0) this.busyUntil = Math.min(this.busyUntil, now);
+        if (this.pending.size === 0) this.drainedAt = Math.min(this.drainedAt, now);
     }
 
-    /** What is left was read from then on: a queue that was predicted too short or too long is set right by each first token. */
-    private follow(since: number): void {
+    /**
+     * Assumes that the remaining prompts have been processed since `startedAt`: each first token corrects a queue that
+     * was predicted too short or too long.
+     */
+    private rescheduleRest(startedAt: number): void {
         if (this.pending.size === 0) return;
-        let leftMs = 0;
-        for (const { readMs } of this.pending) leftMs += readMs;
-        this.busyUntil = since + leftMs;
+        let remainingMs = 0;
+        for (const { prefillMs } of this.pending) remainingMs += prefillMs;
+        this.drainedAt = startedAt + remainingMs;
     }
 }
--- a/src/upstream/prefillModel/index.ts
+++ b/src/upstream/prefillModel/index.ts
@@ -1,88 +1,95 @@
-/** What an upstream must do for a prompt before its first token. */
+/** Prefill that an upstream must do for a prompt before its first token. */
 export interface PrefillWork {
-    /** Prompt tokens that it has to read. */
+    /** Prompt tokens to process. */
     readonly tokens: number;
-    /** Tokens before them that it holds already: each token read attends to all before it. */
+    /** Cached tokens that precede them: each processed token attends to all tokens before it. */
     readonly held: number;
 }
 
 /**
- * What is assumed before anything was learned, in milliseconds: an answer's first token on an idle engine, a thousand tokens of its prompt,
- * a million pairs of a token and one before it. Those of a mid-size model on current hardware.
+ * Factors assumed before any observation, in milliseconds: first token on an idle engine, a thousand prompt tokens, a
+ * million pairs of a token and an earlier one. Typical of a mid-size model on current hardware.
  */
-const USUAL: readonly number[] = [30, 20, 0.5];
-/** For how many observations of an ordinary prompt the assumption stands. */
-const USUAL_WEIGHT = 2;
-/** How much of what was learned is kept at each observation: the last hundred count. */
-const KEPT = 0.99;
-/** An observation beyond so many times the prediction, and a moment, tells of a fault and not of reading. */
-const ODD_FACTOR = 3;
-const ODD_MS = 200;
-/** Reading never takes less than this share of what is assumed. */
-const LEAST_SHARE = 0.05;
+const INITIAL_FACTORS: readonly number[] = [30, 20, 0.5];
+/** Number of observations of an ordinary prompt that the initial factors count as. */
+const PRIOR_WEIGHT = 2;
+/** Share of the accumulated observations kept at each new one: effectively the last hundred count. */
+const RETENTION = 0.99;
+/**
+ * An observation longer than the prediction times this factor, plus the margin, indicates a fault rather than slow
+ * prefill, and is capped.
+ */
+const OUTLIER_FACTOR = 3;
+const OUTLIER_MARGIN_MS = 200;
+/** Lower bound of each learned factor, as a share of its initial value. */
+const MIN_FACTOR_SHARE = 0.05;
 
 /**
- * How long the upstreams of a pool take to a first token: a fixed time, a time for each token read, and one for each pair of a token
- * and one before it, which makes the end of a long prompt slower than its beginning. Least squares over the last observations.
+ * Predicts how long the upstreams of a pool take to a first token: a fixed time, a time per processed token, and a time
+ * per pair of a token and an earlier one, which makes the end of a long prompt slower than its beginning. The factors
+ * are fitted by least squares over the latest observations.
  *
  * @example
  * model.learn({ tokens: 2_000, held: 6_000 }, 160);
- * model.readMs({ tokens: 4_000, held: 0 });
+ * model.prefillMs({ tokens: 4_000, held: 0 });
  */
 export class PrefillModel {
-    private readonly products = USUAL.map((_, row) =>
-        USUAL.map((_, column): number => row === column ? USUAL_WEIGHT : 0)
+    private readonly normalMatrix = INITIAL_FACTORS.map((_, row) =>
+        INITIAL_FACTORS.map((_, column): number => row === column ? PRIOR_WEIGHT : 0)
     );
-    private readonly sums = USUAL.map(value => USUAL_WEIGHT * value);
-    private factors = [...USUAL];
+    private readonly normalVector = INITIAL_FACTORS.map(value => PRIOR_WEIGHT * value);
+    private factors = [...INITIAL_FACTORS];
 
-    /** From sending to the first token of a prompt that needs no reading, on an idle upstream, in milliseconds. */
+    /** Time from sending to the first token of a fully cached prompt on an idle upstream, in milliseconds. */
     get baseMs(): number {
         return this.factors[0];
     }
 
-    /** How long an idle upstream takes to read, in milliseconds. */
-    readMs(work: PrefillWork): number {
-        return thousandsOf(work) * this.factors[1] + pairsOf(work) * this.factors[2];
+    /** Returns the duration of a prefill on an idle upstream, in milliseconds. */
+    prefillMs(work: PrefillWork): number {
+        return kiloTokens(work) * this.factors[1] + megaPairs(work) * this.factors[2];
     }
 
-    /** Takes in how long an upstream took to a first token that had nothing else to read, in milliseconds. */
+    /** Learns from the time to a first token of an upstream that had no other prefill to do, in milliseconds. */
     learn(work: PrefillWork, tookMs: number): void {
-        const features = describe(work);
-        const tookAtMost = ODD_FACTOR * (this.baseMs + this.readMs(work)) + ODD_MS;
-        const took = Math.min(tookMs, tookAtMost);
+        const features = featuresOf(work);
+        const maxTookMs = OUTLIER_FACTOR * (this.baseMs + this.prefillMs(work)) + OUTLIER_MARGIN_MS;
+        const cappedTookMs = Math.min(tookMs, maxTookMs);
         for (const [row, value] of features.entries()) {
-            this.sums[row] = fade(this.sums[row], USUAL_WEIGHT * USUAL[row]) + value * took;
+            this.normalVector[row] = decayToPrior(this.normalVector[row], PRIOR_WEIGHT * INITIAL_FACTORS[row])
+                + value * cappedTookMs;
             for (const [column, other] of features.entries()) {
-                const usual = row === column ? USUAL_WEIGHT : 0;
-                this.products[row][column] = fade(this.products[row][column], usual) + value * other;
+                const prior = row === column ? PRIOR_WEIGHT : 0;
+                this.normalMatrix[row][column] = decayToPrior(this.normalMatrix[row][column], prior) + value * other;
             }
         }
-        this.factors = solve(this.products, this.sums).map((value, at) => Math.max(LEAST_SHARE * USUAL[at], value));
+        this.factors = solveLinearSystem(this.normalMatrix, this.normalVector).map((value, at) =>
+            Math.max(MIN_FACTOR_SHARE * INITIAL_FACTORS[at], value)
+        );
     }
 }
 
-/** One, thousands of tokens, millions of pairs. */
-function describe(work: PrefillWork): readonly [number, number, number] {
-    return [1, thousandsOf(work), pairsOf(work)];
+/** Returns the regression features: 1, thousands of tokens, millions of token pairs. */
+function featuresOf(work: PrefillWork): readonly [number, number, number] {
+    return [1, kiloTokens(work), megaPairs(work)];
 }
 
-function thousandsOf({ tokens }: PrefillWork): number {
+function kiloTokens({ tokens }: PrefillWork): number {
     return tokens / 1_000;
 }
 
-function pairsOf({ tokens, held }: PrefillWork): number {
+function megaPairs({ tokens, held }: PrefillWork): number {
     return tokens * (held + tokens / 2) / 1_000_000;
 }
 
-/** What was learned fades; what is assumed stays. */
-function fade(value: number, usual: number): number {
-    return usual + KEPT * (value - usual);
+/** Decays learned values towards the prior, which keeps its weight. */
+function decayToPrior(value: number, prior: number): number {
+    return prior + RETENTION * (value - prior);
 }
 
-/** Solves a small system of equations with positive diagonal, by elimination. */
-function solve(products: readonly (readonly number[])[], sums: readonly number[]): number[] {
-    const rows = products.map((row, at) => [...row, sums[at]]);
+/** Solves a small system of linear equations with a positive diagonal by elimination. */
+function solveLinearSystem(matrix: readonly (readonly number[])[], vector: readonly number[]): number[] {
+    const rows = matrix.map((row, at) => [...row, vector[at]]);
     const size = rows.length;
     for (let pivot = 0; pivot < size; pivot++) {
         for (let row = 0; row < size; row++) {
--- a/src/upstream/prefixes/index.ts
+++ b/src/upstream/prefixIndex/index.ts
@@ -1,20 +1,20 @@
 import { UpstreamId } from "../../ids/index.js";
 import { CacheEvents } from "../../protocol/index.js";
 
-const DEFAULT_MOST_PREFIXES = 20_000;
-const MOST_HOLDERS = 8;
-const TRUST_AFTER_GAP = 0.5;
+const DEFAULT_MAX_PREFIXES = 20_000;
+const MAX_HOLDERS_PER_PREFIX = 8;
+const GAP_TRUST_FACTOR = 0.5;
 const TRUST_GAIN = 0.05;
 
-interface EventState {
-    sequence: number;
+interface EventStreamState {
+    nextSequence: number;
     trust: number;
 }
 
 /**
- * Which upstream probably holds which prompt prefix in its cache: what this process sent there, corrected by the
- * upstream's cache events. Events are late and get lost; a gap in their numbers lowers the trust in all that is known of
- * that upstream, and events without a gap raise it again.
+ * Index of the prompt prefixes that each upstream probably has cached: the prefixes this process sent there, corrected
+ * by the upstream's cache events. Events arrive late and can be lost: a gap in their sequence numbers lowers the trust
+ * in everything known of that upstream, and batches without a gap raise it again.
  *
  * @example
  * index.record(ticket.prefixes, upstream);
@@ -22,23 +22,23 @@
  */
 export class PrefixIndex {
     private readonly holders = new Map<string, Set<UpstreamId>>();
-    private readonly states = new Map<UpstreamId, EventState>();
+    private readonly states = new Map<UpstreamId, EventStreamState>();
 
-    /** @param mostPrefixes - How many are remembered; the longest unused are forgotten first. */
-    constructor(private readonly mostPrefixes: number = DEFAULT_MOST_PREFIXES) {}
+    /** @param maxPrefixes - Maximum number of prefixes remembered; the least recently used are evicted first. */
+    constructor(private readonly maxPrefixes: number = DEFAULT_MAX_PREFIXES) {}
 
-    /** A request with these prefixes went to the upstream, whose cache now holds them. */
+    /** Records that a request with these prefixes was sent to the upstream, whose cache now holds them. */
     record(prefixes: readonly string[], upstream: UpstreamId): void {
         for (const prefix of prefixes) this.add(prefix, upstream);
     }
 
-    /** Takes an upstream's cache events. */
+    /** Applies an upstream's cache events. */
     apply(upstream: UpstreamId, events: CacheEvents): void {
-        const state = this.states.get(upstream) ?? { sequence: events.sequence, trust: 1 };
-        if (events.sequence < state.sequence) return;
-        const hasGap = events.sequence > state.sequence;
-        state.trust = hasGap ? state.trust * TRUST_AFTER_GAP : Math.min(1, state.trust + TRUST_GAIN);
-        state.sequence = events.sequence + events.events.length;
+        const state = this.states.get(upstream) ?? { nextSequence: events.sequence, trust: 1 };
+        if (events.sequence < state.nextSequence) return;
+        const hasGap = events.sequence > state.nextSequence;
+        state.trust = hasGap ? state.trust * GAP_TRUST_FACTOR : Math.min(1, state.trust + TRUST_GAIN);
+        state.nextSequence = events.sequence + events.events.length;
         this.states.set(upstream, state);
         for (const event of events.events) {
             if (event.kind === "stored") this.add(event.prefix, upstream);
@@ -46,7 +46,7 @@
         }
     }
 
-    /** Forgets an upstream that ended: its next incarnation starts with an empty cache. */
+    /** Forgets an upstream that has ended: its next incarnation starts with an empty cache. */
     forget(upstream: UpstreamId): void {
         this.states.delete(upstream);
         for (const [prefix, upstreams] of this.holders) {
@@ -55,7 +55,7 @@
         }
     }
 
-    /** The share of the prefixes that the upstream probably holds, lowered by lack of trust: 0 to 1. */
+    /** Returns the share of the prefixes that the upstream probably has cached, scaled by trust, from 0 to 1. */
     cachedShare(prefixes: readonly string[], upstream: UpstreamId): number {
         for (let length = prefixes.length; length > 0; length--) {
             if (!this.holders.get(prefixes[length - 1])?.has(upstream)) continue;
@@ -64,7 +64,7 @@
         return 0;
     }
 
-    /** Upstreams that probably hold the longest known of the prefixes. */
+    /** Returns the upstreams that probably hold the longest known one of the prefixes. */
     likelyHolders(prefixes: readonly string[]): readonly UpstreamId[] {
         for (let length = prefixes.length; length > 0; length--) {
             const upstreams = this.holders.get(prefixes[length - 1]);
@@ -79,7 +79,7 @@
         upstreams.add(upstream);
         this.holders.delete(prefix);
         this.holders.set(prefix, upstreams);
-        if (upstreams.size > MOST_HOLDERS) upstreams.delete(upstreams.values().next().value!);
-        if (this.holders.size > this.mostPrefixes) this.holders.delete(this.holders.keys().next().value!);
+        if (upstreams.size > MAX_HOLDERS_PER_PREFIX) upstreams.delete(upstreams.values().next().value!);
+        if (this.holders.size > this.maxPrefixes) this.holders.delete(this.holders.keys().next().value!);
     }
 }
--- a/src/upstream/prefixes/test.ts
+++ b/src/upstream/prefixIndex/test.ts
@@ -7,21 +7,21 @@
 const PROMPT = ["a", "a/b", "a/b/c", "a/b/c/d"];
 
 describe("PrefixIndex", () => {
-    it("knows the longest prefix that was sent there", () => {
+    it("returns the longest prefix that was sent there", () => {
         const index = new PrefixIndex();
         index.record(["a", "a/b"], U1);
         assert.equal(index.cachedShare(PROMPT, U1), 0.5);
         assert.deepEqual(index.likelyHolders(PROMPT), [U1]);
     });
 
-    it("believes events of eviction", () => {
+    it("applies eviction events", () => {
         const index = new PrefixIndex();
         index.record(PROMPT, U1);
         index.apply(U1, { sequence: 0, events: PROMPT.map(prefix => ({ kind: "evicted", prefix })) });
         assert.equal(index.cachedShare(PROMPT, U1), 0);
     });
 
-    it("trusts less after a gap, and more again after whole batches", () => {
+    it("lowers the trust after a gap, and raises it after complete batches", () => {
         const index = new PrefixIndex();
         index.record(PROMPT, U1);
         index.apply(U1, { sequence: 0, events: [] });
@@ -31,7 +31,7 @@
         assert.ok(index.cachedShare(PROMPT, U1) > 0.5);
     });
 
-    it("stays within its bound and forgets an upstream whole", () => {
+    it("stays within its bound and forgets all of an upstream", () => {
         const index = new PrefixIndex(3);
         index.record(["p1", "p2", "p3", "p4"], U1);
         assert.equal(index.cachedShare(["p1"], U1), 0);
--- a/src/upstream/promptCache/index.ts
+++ b/src/upstream/promptCache/index.ts
@@ -1,144 +1,151 @@
 import { UpstreamId } from "../../ids/index.js";
 
-/** A part of a prompt that other prompts may begin with too. */
+/** Part of a prompt that other prompts may share. */
 export interface PromptPart {
     readonly id: string;
     readonly tokens: number;
 }
 
-/** Tokens that an upstream's memory is assumed to take where nothing says so. */
-const DEFAULT_CAPACITY = 400_000;
-/** The share of the memory that is counted on for parts at rest: running requests have the rest. */
-const RESTING_SHARE = 0.75;
+/** Assumed KV cache capacity of an upstream whose capacity is unknown. */
+const DEFAULT_CAPACITY_TOKENS = 400_000;
+/** Share of the capacity assumed to be available for cached parts; running requests use the rest. */
+const CACHE_SHARE = 0.75;
 
 interface HeldPart {
     readonly tokens: number;
-    /** When it was last sent there; monotonic, in milliseconds. */
+    /** Monotonic time at which it was last sent there, in milliseconds. */
     readonly usedAt: number;
-    /** A prompt with it has shown its first token there, or the upstream says that it holds it. */
-    readonly isRead: boolean;
+    /** Whether a prompt with it has produced its first token there, or the upstream reports that it holds it. */
+    readonly isPrefilled: boolean;
 }
 
-interface Holding {
-    /** By part, the longest unused first. */
+interface UpstreamParts {
+    /** By part id, the least recently used first. */
     readonly parts: Map<string, HeldPart>;
     tokens: number;
 }
 
-/** What a part must be to count, beside being sent there. */
-export interface HeldCondition {
-    /** It has certainly been read. */
-    readonly isRead: boolean;
-    /** It was last used no earlier than this; monotonic, in milliseconds. */
+/** Conditions that a held part must meet to count. */
+export interface HeldPartFilter {
+    /** Only parts whose prefill has certainly finished. */
+    readonly isPrefilled: boolean;
+    /** Only parts last used at this monotonic time or later, in milliseconds. */
     readonly usedAfter: number;
 }
 
-const ANY: HeldCondition = { isRead: false, usedAfter: Number.NEGATIVE_INFINITY };
+const NO_FILTER: HeldPartFilter = { isPrefilled: false, usedAfter: Number.NEGATIVE_INFINITY };
 
 /**
- * Which parts of prompts each upstream probably holds: what was sent there, less what must have yielded since. The longest unused
- * part yields first, as in the upstreams themselves.
+ * Estimates which prompt parts each upstream holds: those sent there, minus those that must have been evicted since.
+ * The least recently used part is evicted first, as in the upstreams themselves.
  *
  * @example
- * cache.use(parts, upstream, now);
- * cache.heldTokens(parts, upstream); // tokens that need not be read again
+ * cache.recordSent(parts, upstream, now);
+ * cache.heldTokens(parts, upstream); // tokens that need no prefill
  */
 export class PromptCache {
-    private readonly holdings = new Map<UpstreamId, Holding>();
-    /** By part, the upstreams that hold it. */
-    private readonly holders = new Map<string, Set<UpstreamId>>();
+    private readonly partsByUpstream = new Map<UpstreamId, UpstreamParts>();
+    /** Upstreams that hold a part, by part id. */
+    private readonly holdersByPart = new Map<string, Set<UpstreamId>>();
 
-    /** @param capacity - How many tokens an upstream's memory takes; undefined where that is not known. */
-    constructor(private readonly capacity: () => number | undefined) {}
+    /** @param capacityTokens - Returns the KV cache capacity of an upstream in tokens; undefined if unknown. */
+    constructor(private readonly capacityTokens: () => number | undefined) {}
 
-    /** Tokens of the leading parts that the upstream holds: a part counts only behind others that are held. */
-    heldTokens(parts: readonly PromptPart[], upstream: UpstreamId, { isRead, usedAfter } = ANY): number {
-        const held = this.holdings.get(upstream)?.parts;
+    /**
+     * Returns the tokens of the leading parts that the upstream holds: a part counts only if all parts before it are
+     * held.
+     */
+    heldTokens(
+        parts: readonly PromptPart[],
+        upstream: UpstreamId,
+        { isPrefilled, usedAfter } = NO_FILTER,
+    ): number {
+        const held = this.partsByUpstream.get(upstream)?.parts;
         if (!held) return 0;
         let tokens = 0;
-        for (const { id, tokens: size } of parts) {
+        for (const { id, tokens: partTokens } of parts) {
             const part = held.get(id);
-            if (!part || (isRead && !part.isRead) || part.usedAt < usedAfter) return tokens;
-            tokens += size;
+            if (!part || (isPrefilled && !part.isPrefilled) || part.usedAt < usedAfter) return tokens;
+            tokens += partTokens;
         }
         return tokens;
     }
 
     /**
-     * The upstreams that hold the first of these parts, and how many tokens of the leading ones. Costs as much as there are holders, however
-     * many upstreams there are.
+     * Returns the upstreams that hold the first of these parts, with the number of tokens of the leading parts that
+     * each holds. The cost grows with the number of holders, not with the number of upstreams.
      */
-    listHolders(parts: readonly PromptPart[], condition = ANY): Map<UpstreamId, number> {
+    listHolders(parts: readonly PromptPart[], filter = NO_FILTER): Map<UpstreamId, number> {
         const found = new Map<UpstreamId, number>();
         if (parts.length === 0) return found;
-        for (const upstream of this.holders.get(parts[0].id) ?? []) {
-            const tokens = this.heldTokens(parts, upstream, condition);
+        for (const upstream of this.holdersByPart.get(parts[0].id) ?? []) {
+            const tokens = this.heldTokens(parts, upstream, filter);
             if (tokens > 0) found.set(upstream, tokens);
         }
         return found;
     }
 
-    /** A prompt with these parts goes to the upstream now. */
-    use(parts: readonly PromptPart[], upstream: UpstreamId, now: number): void {
-        // The last part is touched first, so that of one prompt the leading parts yield last.
+    /** Records that a prompt with these parts is sent to the upstream now. */
+    recordSent(parts: readonly PromptPart[], upstream: UpstreamId, now: number): void {
+        // In reverse order, so that the leading parts of a prompt are evicted last.
         for (const { id, tokens } of [...parts].reverse()) {
-            this.touch(upstream, id, { tokens, usedAt: now, isRead: false });
+            this.moveToNewest(upstream, id, { tokens, usedAt: now, isPrefilled: false });
         }
         this.evict(upstream);
     }
 
-    /** A prompt with these parts has shown its first token there. */
-    confirm(parts: readonly PromptPart[], upstream: UpstreamId): void {
-        const held = this.holdings.get(upstream)?.parts;
+    /** Records that a prompt with these parts has produced its first token there. */
+    markPrefilled(parts: readonly PromptPart[], upstream: UpstreamId): void {
+        const held = this.partsByUpstream.get(upstream)?.parts;
         for (const { id } of parts) {
             const part = held?.get(id);
-            if (part && !part.isRead) held!.set(id, { ...part, isRead: true });
+            if (part && !part.isPrefilled) held!.set(id, { ...part, isPrefilled: true });
         }
     }
 
-    /** The upstream says that it holds these parts: what was sent there before counts as used later. */
-    learn(parts: readonly PromptPart[], upstream: UpstreamId, now: number): void {
-        const sent = this.holdings.get(upstream)?.parts ?? new Map<string, HeldPart>();
+    /** Records the parts that the upstream reports to hold: parts sent there before count as used more recently. */
+    recordReported(parts: readonly PromptPart[], upstream: UpstreamId, now: number): void {
+        const sent = this.partsByUpstream.get(upstream)?.parts ?? new Map<string, HeldPart>();
         this.forget(upstream);
-        for (const { id, tokens } of parts) this.touch(upstream, id, { tokens, usedAt: now, isRead: true });
-        for (const [id, part] of sent) this.touch(upstream, id, part);
+        for (const { id, tokens } of parts) this.moveToNewest(upstream, id, { tokens, usedAt: now, isPrefilled: true });
+        for (const [id, part] of sent) this.moveToNewest(upstream, id, part);
         this.evict(upstream);
     }
 
     /** Forgets an upstream that has ended. */
     forget(upstream: UpstreamId): void {
-        for (const id of this.holdings.get(upstream)?.parts.keys() ?? []) this.removeHolder(id, upstream);
-        this.holdings.delete(upstream);
+        for (const id of this.partsByUpstream.get(upstream)?.parts.keys() ?? []) this.removeHolder(id, upstream);
+        this.partsByUpstream.delete(upstream);
     }
 
-    private touch(upstream: UpstreamId, id: string, part: HeldPart): void {
-        const holding = this.holdings.get(upstream) ?? { parts: new Map<string, HeldPart>(), tokens: 0 };
-        this.holdings.set(upstream, holding);
+    private moveToNewest(upstream: UpstreamId, id: string, part: HeldPart): void {
+        const holding = this.partsByUpstream.get(upstream) ?? { parts: new Map<string, HeldPart>(), tokens: 0 };
+        this.partsByUpstream.set(upstream, holding);
         const known = holding.parts.get(id);
         holding.tokens += part.tokens - (known?.tokens ?? 0);
         holding.parts.delete(id);
-        holding.parts.set(id, { ...part, isRead: part.isRead || (known?.isRead ?? false) });
+        holding.parts.set(id, { ...part, isPrefilled: part.isPrefilled || (known?.isPrefilled ?? false) });
         if (!known) this.addHolder(id, upstream);
     }
 
     private addHolder(id: string, upstream: UpstreamId): void {
-        const holders = this.holders.get(id);
+        const holders = this.holdersByPart.get(id);
         if (holders) holders.add(upstream);
-        else this.holders.set(id, new Set([upstream]));
+        else this.holdersByPart.set(id, new Set([upstream]));
     }
 
     private removeHolder(id: string, upstream: UpstreamId): void {
-        const holders = this.holders.get(id);
+        const holders = this.holdersByPart.get(id);
         holders?.delete(upstream);
-        if (holders?.size === 0) this.holders.delete(id);
+        if (holders?.size === 0) this.holdersByPart.delete(id);
     }
 
     private evict(upstream: UpstreamId): void {
-        const holding = this.holdings.get(upstream);
+        const holding = this.partsByUpstream.get(upstream);
         if (!holding) return;
-        const most = RESTING_SHARE * (this.capacity() ?? DEFAULT_CAPACITY);
+        const maxTokens = CACHE_SHARE * (this.capacityTokens() ?? DEFAULT_CAPACITY_TOKENS);
         for (const [id, { tokens }] of holding.parts) {
-            if (holding.tokens <= most) return;
+            if (holding.tokens <= maxTokens) return;
             holding.parts.delete(id);
             holding.tokens -= tokens;
             this.removeHolder(id, upstream);
--- a/src/upstream/readingHistory/index.ts
+++ b/src/upstream/readingHistory/index.ts
@@ -1,29 +1,35 @@
-/** How far back stretches of reading tell of those to come, in milliseconds: about as long as a burst of long prompts lasts. */
-const MEMORY_MS = 5_000;
-/** A break shorter than this gives streams no time for an event, in milliseconds: a few tokens of a large model. */
-const BREAK_MS = 30;
+/**
+ * Age up to which past prefill periods predict future ones, in milliseconds: about the length of a burst of long
+ * prompts.
+ */
+const HISTORY_MS = 5_000;
+/**
+ * Shortest break between two prompts in which streams can emit an event, in milliseconds: the time of a few tokens on a
+ * large model.
+ */
+const MIN_BREAK_MS = 30;
 
-/** Prompts that are read one after the other without a break. */
-export interface ReadingStretch {
-    /** Monotonic, in milliseconds. */
+/** Period in which an engine prefills prompts one after the other without a break. */
+export interface PrefillPeriod {
+    /** Monotonic time, in milliseconds; as is `endsAt`. */
     readonly startsAt: number;
     readonly endsAt: number;
-    /** The longest of them, in tokens, with what is held of it. */
+    /** Length of the longest prompt of the period in tokens, including its cached part. */
     readonly promptTokens: number;
 }
 
 /**
- * When one upstream read prompts without a break: prompts that follow each other closely make one stretch, in which running streams stand still
- * as beside a single long prompt.
+ * Records when one upstream was busy with prefill. Prompts that follow each other closely form one period, which pauses
+ * running streams as long as a single long prompt would.
  */
-export class ReadingHistory {
-    /** In order of time. */
-    private readonly stretches: ReadingStretch[] = [];
+export class PrefillHistory {
+    /** Ordered by time. */
+    private readonly periods: PrefillPeriod[] = [];
 
-    /** The present stretch as it would be with a prompt more, which is read by then. */
-    extend(endsAt: number, promptTokens: number, now: number): ReadingStretch {
-        const last = this.stretches.at(-1);
-        if (!last || last.endsAt + BREAK_MS < now) return { startsAt: now, endsAt, promptTokens };
+    /** Returns the current period as it would be with one more prompt, whose prefill ends at `endsAt`. */
+    extend(endsAt: number, promptTokens: number, now: number): PrefillPeriod {
+        const last = this.periods.at(-1);
+        if (!last || last.endsAt + MIN_BREAK_MS < now) return { startsAt: now, endsAt, promptTokens };
         return {
             startsAt: last.startsAt,
             endsAt: Math.max(last.endsAt, endsAt),
@@ -31,29 +37,32 @@
         };
     }
 
-    /** A prompt is sent that will have been read by then. Gives the stretch that it is part of. */
-    note(endsAt: number, promptTokens: number, now: number): ReadingStretch {
-        const stretch = this.extend(endsAt, promptTokens, now);
-        if (this.stretches.at(-1)?.startsAt === stretch.startsAt) this.stretches.pop();
-        this.stretches.push(stretch);
-        while (this.stretches[0].endsAt < now - MEMORY_MS) this.stretches.shift();
-        return stretch;
+    /**
+     * Records a prompt that has been sent and whose prefill ends at `endsAt`. Returns the period that it belongs to.
+     */
+    record(endsAt: number, promptTokens: number, now: number): PrefillPeriod {
+        const period = this.extend(endsAt, promptTokens, now);
+        if (this.periods.at(-1)?.startsAt === period.startsAt) this.periods.pop();
+        this.periods.push(period);
+        while (this.periods[0].endsAt < now - HISTORY_MS) this.periods.shift();
+        return period;
     }
 
     /**
-     * How probable it is that a stream which runs for so long from now on is harmed by a stretch, from 0 to 1: as often as one would have been
-     * in the last seconds.
+     * Estimates the probability that a stream starting now is harmed by a prefill period, from 0 to 1, as the rate at
+     * which one would have been harmed in the last seconds.
      *
-     * @param harmOf - How probable it is that a stretch harms a stream beside it, from 0 to 1.
+     * @param harmOf - Returns the probability that a period harms a stream running beside it, from 0 to 1.
+     * @param streamMs - Duration of the stream, in milliseconds.
      */
-    chanceOfHarm(harmOf: (stretch: ReadingStretch) => number, forMs: number, now: number): number {
-        const since = now - MEMORY_MS;
+    harmProbability(harmOf: (period: PrefillPeriod) => number, streamMs: number, now: number): number {
+        const since = now - HISTORY_MS;
         let harmMs = 0;
-        for (const stretch of this.stretches) {
-            const { startsAt, endsAt } = stretch;
+        for (const period of this.periods) {
+            const { startsAt, endsAt } = period;
             if (endsAt < since) continue;
-            harmMs += harmOf(stretch) * (Math.min(endsAt, now) - Math.max(startsAt, since) + forMs);
+            harmMs += harmOf(period) * (Math.min(endsAt, now) - Math.max(startsAt, since) + streamMs);
         }
-        return Math.min(1, harmMs / MEMORY_MS);
+        return Math.min(1, harmMs / HISTORY_MS);
     }
 }
--- a/src/upstream/readingLoad/index.ts
+++ b/src/upstream/readingLoad/index.ts
@@ -1,20 +1,23 @@
-/** Over this time the load is averaged, in milliseconds: two thirds of a burst are seen after it, and new upstreams need seconds to start. */
-const LOAD_MEMORY_MS = 3_000;
+/**
+ * Time constant of the moving average, in milliseconds: after a burst, two thirds of it are visible within this time,
+ * and new upstreams need seconds to start.
+ */
+const AVERAGING_MS = 3_000;
 
-/** How many upstreams' time the prompts of the last seconds take to read. */
-export class ReadingLoad {
-    /** Milliseconds of reading in a millisecond, averaged. */
+/** Moving average of the prefill work sent to a pool, as the number of upstreams that it keeps fully busy. */
+export class PrefillLoad {
+    /** Milliseconds of prefill per millisecond, averaged. */
     private load = 0;
-    private loadAt = 0;
+    private updatedAt = 0;
 
-    /** Adds a prompt that takes so long to read; monotonic, in milliseconds. */
-    add(readMs: number, now: number): void {
-        this.load = this.read(now) + readMs / LOAD_MEMORY_MS;
-        this.loadAt = now;
+    /** Adds a prompt whose prefill takes `prefillMs` milliseconds at monotonic time `now`, in milliseconds. */
+    add(prefillMs: number, now: number): void {
+        this.load = this.valueAt(now) + prefillMs / AVERAGING_MS;
+        this.updatedAt = now;
     }
 
-    /** The load at a moment, in upstreams that do nothing else. */
-    read(now: number): number {
-        return this.load * Math.exp((this.loadAt - now) / LOAD_MEMORY_MS);
+    /** Returns the load at a monotonic time, as a number of upstreams that do nothing but prefill. */
+    valueAt(now: number): number {
+        return this.load * Math.exp((this.updatedAt - now) / AVERAGING_MS);
     }
 }
--- a/src/upstream/requestAllowance/index.ts
+++ b/src/upstream/requestAllowance/index.ts
@@ -1,84 +1,87 @@
-/** An upstream that takes none gets one request now and then all the same, a second: only its answers tell when that is over. */
-const LEAST_PER_SECOND = 0.1;
+/**
+ * Minimum rate, in requests per second: an upstream with a limit of 0 still gets a request occasionally, since only its
+ * answers tell when the limit has ended.
+ */
+const MIN_REQUESTS_PER_S = 0.1;
 const MS_PER_SECOND = 1_000;
 
 /**
- * How many requests this process may send to an upstream that names a limit in its answers: a token bucket that holds a second's worth, and one
- * request at least. The newest answer counts; one without a limit ends it.
+ * Token bucket for the requests that this process may send to an upstream that states a request limit in its answers.
+ * It holds one second's worth, and at least one request. The newest answer counts; one without a limit ends it.
  *
  * @example
- * allowance.learn(1.5, saidAt, now, 0);
- * if (allowance.count(now) > 0) allowance.take(now);
+ * allowance.update(1.5, answeredAt, now, 0);
+ * if (allowance.available(now) > 0) allowance.consume(now);
  */
 export class RequestAllowance {
     private limit: number | undefined;
-    private saidAt = Number.NEGATIVE_INFINITY;
+    private lastAnswerAt = Number.NEGATIVE_INFINITY;
     private tokens = 0;
-    private filledAt = 0;
+    private refilledAt = 0;
 
-    /** @param share - The part of the limit that is this process's to use, from 0 to 1. */
+    /** @param share - Share of the limit that this process may use, from 0 to 1. */
     constructor(private readonly share: () => number) {}
 
-    /** The limit that the upstream names, for all hosts together, in requests a second; undefined where it names none. */
+    /** Limit that the upstream states for all hosts together, in requests per second; undefined if it states none. */
     get perSecond(): number | undefined {
         return this.limit;
     }
 
-    /** When the upstream was last heard to say so; monotonic, in milliseconds. */
-    get learnedAt(): number {
-        return this.saidAt;
+    /** Monotonic time of the newest answer, in milliseconds. */
+    get answeredAt(): number {
+        return this.lastAnswerAt;
     }
 
     /**
-     * Takes note of an answer; one that is older than what is known changes nothing.
+     * Updates the limit from an answer; one that is older than the newest known answer changes nothing.
      *
-     * @param perSecond - The limit that it names; undefined for none.
-     * @param saidAt - When it came; monotonic, in milliseconds.
+     * @param perSecond - Limit stated by the answer; undefined for none.
+     * @param answeredAt - Monotonic time of the answer, in milliseconds.
      * @param now - Monotonic time, in milliseconds.
-     * @param sent - How many requests this process has sent there within the last second.
+     * @param sentCount - Number of requests that this process has sent there within the last second.
      */
-    learn(perSecond: number | undefined, saidAt: number, now: number, sent: number): void {
-        if (saidAt < this.saidAt) return;
+    update(perSecond: number | undefined, answeredAt: number, now: number, sentCount: number): void {
+        if (answeredAt < this.lastAnswerAt) return;
         const isNew = this.limit === undefined && perSecond !== undefined;
         this.limit = perSecond;
-        this.saidAt = saidAt;
+        this.lastAnswerAt = answeredAt;
         if (!isNew) return;
-        this.tokens = this.capacity() - sent;
-        this.filledAt = now;
+        this.tokens = this.capacity() - sentCount;
+        this.refilledAt = now;
     }
 
-    /** Forgets what was said: the upstream has ended, or lives anew. */
-    forget(): void {
+    /** Forgets the limit: the upstream has ended or restarted. */
+    reset(): void {
         this.limit = undefined;
-        this.saidAt = Number.NEGATIVE_INFINITY;
+        this.lastAnswerAt = Number.NEGATIVE_INFINITY;
     }
 
     /**
-     * How many requests may be sent at once.
+     * Returns how many requests may be sent now.
      *
      * @param now - Monotonic time, in milliseconds.
      */
-    count(now: number): number {
+    available(now: number): number {
         if (this.limit === undefined) return Number.POSITIVE_INFINITY;
-        this.fill(now);
+        this.refill(now);
         return Math.max(0, Math.floor(this.tokens));
     }
 
-    /** Told that a request was sent. */
-    take(now: number): void {
+    /** Records that a request was sent. */
+    consume(now: number): void {
         if (this.limit === undefined) return;
-        this.fill(now);
+        this.refill(now);
         this.tokens--;
     }
 
-    private fill(now: number): void {
-        const added = this.rate() * (now - this.filledAt) / MS_PER_SECOND;
+    private refill(now: number): void {
+        const added = this.rate() * (now - this.refilledAt) / MS_PER_SECOND;
         this.tokens = Math.min(this.capacity(), this.tokens + added);
-        this.filledAt = now;
+        this.refilledAt = now;
     }
 
     private rate(): number {
-        return this.share() * Math.max(LEAST_PER_SECOND, this.limit ?? 0);
+        return this.share() * Math.max(MIN_REQUESTS_PER_S, this.limit ?? 0);
     }
 
     private capacity(): number {
--- a/src/upstream/requestLimits/test.ts
+++ b/src/upstream/requestLimits/test.ts
@@ -8,10 +8,10 @@
 const UPSTREAM = "u1" as UpstreamId;
 
 describe("RequestLimits", () => {
-    it("tells what an answer changes", () => {
+    it("returns what an answer changes", () => {
         const limits = new RequestLimits(new VirtualClock());
-        const said = [undefined, 2, 2, 1.5, undefined, undefined].map(limit => limits.note(POOL, UPSTREAM, limit));
-        assert.deepEqual(said, [undefined, "named", undefined, "changed", "ended", undefined]);
+        const changes = [undefined, 2, 2, 1.5, undefined, undefined].map(limit => limits.note(POOL, UPSTREAM, limit));
+        assert.deepEqual(changes, [undefined, "named", undefined, "changed", "ended", undefined]);
     });
 
     it("lists a pool's limits with their age", async () => {
@@ -23,7 +23,7 @@
         assert.deepEqual(limits.list(POOL), [{ upstream: UPSTREAM, perSecond: 2, ageMs: 400 }]);
     });
 
-    it("believes the newest answer, whichever comes last", async () => {
+    it("applies the newest answer, whichever arrives last", async () => {
         const clock = new VirtualClock();
         const limits = new RequestLimits(clock);
         await clock.advance(1_000);
--- a/src/upstream/requestRate/index.ts
+++ b/src/upstream/requestRate/index.ts
@@ -1,41 +1,41 @@
-/** Requests are counted over so long, in milliseconds. */
+/** Length of the sliding window, in milliseconds. */
 const WINDOW_MS = 1_000;
 
 /**
- * Counts the requests that were sent in the last second.
+ * Counts the requests sent within the last second.
  *
  * @example
  * const rate = new RequestRate();
- * rate.note(clock.monotonic());
+ * rate.record(clock.monotonic());
  * rate.count(clock.monotonic()); // 1
  */
 export class RequestRate {
-    private starts: number[] = [];
+    private sentAt: number[] = [];
 
     /**
-     * Notes a request.
+     * Records a request.
      *
-     * @param at - When it was sent; monotonic, in milliseconds. Not necessarily later than those before.
+     * @param at - Monotonic time at which it was sent, in milliseconds; may be earlier than those recorded before.
      */
-    note(at: number): void {
-        const after = this.starts.findLastIndex(start => start <= at);
-        this.starts.splice(after + 1, 0, at);
-        this.trim(this.starts.at(-1)!);
+    record(at: number): void {
+        const lastEarlier = this.sentAt.findLastIndex(start => start <= at);
+        this.sentAt.splice(lastEarlier + 1, 0, at);
+        this.trim(this.sentAt.at(-1)!);
     }
 
     /**
-     * How many were sent within the second before.
+     * Returns how many requests were sent within the last second.
      *
      * @param now - Monotonic time, in milliseconds.
      */
     count(now: number): number {
         this.trim(now);
-        return this.starts.length;
+        return this.sentAt.length;
     }
 
     private trim(now: number): void {
-        const firstKept = this.starts.findIndex(start => start > now - WINDOW_MS);
-        if (firstKept > 0) this.starts.splice(0, firstKept);
-        else if (firstKept < 0) this.starts = [];
+        const firstKept = this.sentAt.findIndex(start => start > now - WINDOW_MS);
+        if (firstKept > 0) this.sentAt.splice(0, firstKept);
+        else if (firstKept < 0) this.sentAt = [];
     }
 }
--- a/src/upstream/routedChoice/index.ts
+++ b/src/upstream/routedChoice/index.ts
@@ -6,67 +6,73 @@
 import { PauseForecast } from "../pauseForecast/index.js";
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
 import { PromptCache, PromptPart } from "../promptCache/index.js";
-import { ReadingLoad } from "../readingLoad/index.js";
-import { DEFAULT_ROUTED_WEIGHTS, RoutedWeights } from "../routedWeights/index.js";
+import { PrefillLoad } from "../readingLoad/index.js";
+import { DEFAULT_FIRST_TOKEN_WEIGHTS, FirstTokenWeights } from "../routedWeights/index.js";
 import { GrantedRequest, UpstreamWork } from "../upstreamWork/index.js";
 
 const BYTES_PER_KILOBYTE = 1_024;
-/** An upstream that fails more of its requests than this is not asked for parts. */
-const MOST_FAILING = 0.3;
+/** An upstream with a higher failure rate is not used as a source of prompt parts. */
+const MAX_SOURCE_FAILURE_RATE = 0.3;
 
-/** The upstreams that hold leading parts of a prompt, and how many tokens of it. */
-type Holders = ReadonlyMap<UpstreamId, number>;
+/** Upstreams that hold leading parts of a prompt, with the number of tokens held. */
+type HeldTokens = ReadonlyMap<UpstreamId, number>;
 
-/** The parts of a prompt that others may begin with too: all but the last, which is its own. */
+/** The parts of a prompt that other prompts may share: all but the last, which is its own. */
 interface SharedParts {
     readonly parts: readonly PromptPart[];
     readonly tokens: number;
-    /** Where they belong, if no candidate is known to hold them. */
+    /** Upstream on which the parts belong if no candidate is known to hold them. */
     readonly home: UpstreamId | undefined;
-    /** How many tokens an upstream's memory takes; without bound where that is not known. */
-    readonly capacity: number;
+    /** KV cache capacity of an upstream in tokens; infinite if unknown. */
+    readonly capacityTokens: number;
 }
 
 /**
- * The upstream where the first token will probably come first, by what this process sent there: prompts that it still has to read,
- * the parts of this prompt that it holds, and how many requests run beside. Upstreams that fail requests come last.
+ * Selects the upstream that will probably produce the first token first. The estimate is based on what this process
+ * sent there: pending prefill, cached parts of this prompt, and concurrently running requests. Upstreams that fail
+ * requests come last.
  *
- * Answers bursts of long prompts: reports of load are a few hundred milliseconds old, and in that time a burst fills the engine that
- * was idle when it reported. Here each grant counts at once. Answers engines that go dark: connections to them stay open, requests
- * get no answer for as long as their callers wait, and no health check says so; an engine whose running requests all show nothing gets no
- * more after some hundred milliseconds. Answers an owner that has lost its memory: parts that nobody is known to hold go to the engine
- * that a hash names, which is the one that had them. Answers long prompts beside short questions too: while an engine reads a
- * prompt its running streams stand still, so a long one goes where no stream runs that could not bear the pause. Answers engines whose memory
- * is full before their slots are: they put requests back, urgent ones too, and read them again.
+ * It copes with the following situations:
+ * - Bursts of long prompts: load reports are a few hundred milliseconds old, and within that time a burst fills the
+ *   engine that reported to be idle. Here each grant counts immediately.
+ * - Unresponsive engines: connections to them stay open and requests get no answer for as long as their callers wait,
+ *   while no health check fails. An engine whose running requests all show no progress gets no more of them after some
+ *   hundred milliseconds.
+ * - A queue owner that has lost its memory: parts that no upstream is known to hold go to the engine selected by a
+ *   hash, which is the one that held them before.
+ * - Long prompts beside short ones: running streams pause while an engine does prefill, so a long prompt goes where no
+ *   stream runs for which the pause would be too long.
+ * - Engines whose memory fills up before their slots do: they preempt requests, even urgent ones, and prefill them
+ *   again.
  */
 export class RoutedChoice extends UpstreamChoice {
-    /** Any candidate may hold the prompt's parts, and few are weighed in full: there is no need for a sample. */
+    /** Any candidate may hold the prompt's parts, and only few are weighed in full, so that no sampling is needed. */
     override readonly mostCandidates = Number.POSITIVE_INFINITY;
-    private readonly work = new Map<UpstreamId, UpstreamWork>();
-    private readonly granting = new Map<RequestId, GrantedRequest>();
-    private readonly cache: PromptCache;
+    private readonly workByUpstream = new Map<UpstreamId, UpstreamWork>();
+    private readonly grantedRequests = new Map<RequestId, GrantedRequest>();
+    private readonly promptCache: PromptCache;
     private readonly placement: PartsPlacement;
-    private readonly model = new PrefillModel();
-    private readonly pauses = new PauseForecast(this.model);
-    private readonly load = new ReadingLoad();
+    private readonly prefillModel = new PrefillModel();
+    private readonly pauseForecast = new PauseForecast(this.prefillModel);
+    private readonly prefillLoad = new PrefillLoad();
 
     /**
-     * @param capacity - How many tokens an upstream's memory takes; undefined where that is not known.
-     * @param weights - What the parts of a choice weigh.
-     * @param pick - How the lightest candidate is found.
+     * @param capacityTokens - Returns the KV cache capacity of an upstream in tokens; undefined if unknown.
+     * @param weights - Weights of the terms of the estimate.
+     * @param pick - Finds the candidate with the least weight.
      */
     constructor(
-        private readonly capacity: () => number | undefined,
-        private readonly weights: RoutedWeights = DEFAULT_ROUTED_WEIGHTS,
+        private readonly capacityTokens: () => number | undefined,
+        private readonly weights: FirstTokenWeights = DEFAULT_FIRST_TOKEN_WEIGHTS,
         private readonly pick: typeof pickLeast = pickLeast,
     ) {
         super();
-        this.cache = new PromptCache(capacity);
-        this.placement = new PartsPlacement(this.cache);
+        this.promptCache = new PromptCache(capacityTokens);
+        this.placement = new PartsPlacement(this.promptCache);
     }
 
     choose(candidates: readonly UpstreamLoad[], request: ChoiceRequest): Choice {
-        const holders = this.cache.listHolders(request.parts);
+        const holders = this.promptCache.listHolders(request.parts);
         const shared = this.describeShared(candidates, request, holders);
         const { item: best, weight } = this.pick(
             candidates,
@@ -76,7 +82,7 @@
         const { now, promptTokens } = request;
         const fetch = this.findFetch(best, request, shared);
         const held = holders.get(best.upstream.id) ?? 0;
-        const backlog = this.workOf(best.upstream.id).prefill.backlogMs(now);
+        const backlog = this.workOf(best.upstream.id).prefillQueue.backlogMs(now);
         const reason = `weight ${Math.round(weight)} ms, backlog ${Math.round(backlog)} ms, `
             + `${held} of ${promptTokens} tokens held, ${best.outstanding} running`
             + (fetch ? `, ${fetch.tokens} from ${fetch.from.upstream.id}` : "");
@@ -86,137 +92,153 @@
     override granted({ load: { upstream }, fetch }: Choice, request: ChoiceRequest): void {
         const { now, parts } = request;
         const work = this.workOf(upstream.id);
-        const held = this.cache.heldTokens(parts, upstream.id) + (fetch?.tokens ?? 0);
-        const prefill = describeWork(request, held);
-        this.cache.use(parts, upstream.id, now);
-        this.load.add(work.prefill.readMs(prefill), now);
-        this.granting.set(request.request, work.begin(request, prefill));
+        const held = this.promptCache.heldTokens(parts, upstream.id) + (fetch?.tokens ?? 0);
+        const prefillWork = makePrefillWork(request, held);
+        this.promptCache.recordSent(parts, upstream.id, now);
+        this.prefillLoad.add(work.prefillQueue.prefillMs(prefillWork), now);
+        this.grantedRequests.set(request.request, work.begin(request, prefillWork));
     }
 
     /**
-     * Guards against a new owner of the queue that takes upstreams for free of streams: those that were granted by the owner before would
-     * stand still beside the first long prompts.
+     * Registers requests granted by the previous owner of the queue: otherwise a new owner would take their upstreams
+     * to run no streams, and these streams would stall beside the first long prompts.
      */
     override adopted({ upstream }: UpstreamLoad, request: ChoiceRequest, runningMs: number): void {
-        this.cache.use(request.parts, upstream.id, request.now - runningMs);
-        this.granting.set(request.request, this.workOf(upstream.id).adopt(request, runningMs));
+        this.promptCache.recordSent(request.parts, upstream.id, request.now - runningMs);
+        this.grantedRequests.set(request.request, this.workOf(upstream.id).adopt(request, runningMs));
     }
 
     override readingLoad(now: number): number {
-        return this.load.read(now);
+        return this.prefillLoad.valueAt(now);
     }
 
     override progressed(request: RequestId, isFirst: boolean, now: number): void {
-        const granted = this.granting.get(request);
+        const granted = this.grantedRequests.get(request);
         if (!granted) return;
         const { upstream, parts } = granted;
-        if (this.workOf(upstream).progressed(granted, isFirst, now)) this.cache.confirm(parts, upstream);
+        if (this.workOf(upstream).progressed(granted, isFirst, now)) this.promptCache.markPrefilled(parts, upstream);
     }
 
     override ended(request: RequestId, failed: boolean | undefined, now: number, longestGapMs?: number): void {
-        const granted = this.granting.get(request);
+        const granted = this.grantedRequests.get(request);
         if (!granted) return;
-        this.granting.delete(request);
+        this.grantedRequests.delete(request);
         this.workOf(granted.upstream).ended(granted, failed, now, longestGapMs);
     }
 
     override learnHeld(upstream: UpstreamId, parts: readonly PromptPart[], now: number): void {
-        this.cache.learn(parts, upstream, now);
+        this.promptCache.recordReported(parts, upstream, now);
     }
 
     override forget(upstream: UpstreamId): void {
-        this.work.delete(upstream);
-        this.cache.forget(upstream);
+        this.workByUpstream.delete(upstream);
+        this.promptCache.forget(upstream);
     }
 
-    /** All but the streams that would stall, who are many: none of it is negative, so this is what an upstream weighs at least. */
+    /**
+     * Weight of all terms but the stalled streams, which are expensive to count. No term is negative, so this is a
+     * lower bound of the upstream's weight.
+     */
     private weighWithoutStalls(
         load: UpstreamLoad,
         request: ChoiceRequest,
         shared: SharedParts,
-        holders: Holders,
+        holders: HeldTokens,
     ): number {
         const { upstream } = load;
         const { weights } = this;
         const { now, targetMs } = request;
-        const own = this.workOf(upstream.id);
-        const { prefill, failureRate } = own;
-        const work = describeWork(request, holders.get(upstream.id) ?? 0);
-        const reread = { tokens: Math.max(0, shared.tokens - work.held), held: Math.min(work.held, shared.tokens) };
-        const rereadMs = (weights.rereadFactor - 1) * prefill.readMs(reread);
+        const upstreamWork = this.workOf(upstream.id);
+        const { prefillQueue: prefillQueue, failureRate } = upstreamWork;
+        const prefillWork = makePrefillWork(request, holders.get(upstream.id) ?? 0);
+        const recomputed = {
+            tokens: Math.max(0, shared.tokens - prefillWork.held),
+            held: Math.min(prefillWork.held, shared.tokens),
+        };
+        const recomputeMs = (weights.recomputeFactor - 1) * prefillQueue.prefillMs(recomputed);
         const isAwayFromHome = shared.home !== undefined && upstream.id !== shared.home;
-        const awayMs = isAwayFromHome ? prefill.readMs({ tokens: shared.tokens, held: 0 }) : 0;
-        const isFar = upstream.zone !== request.zone;
-        const farMs = weights.otherZoneMs + weights.otherZoneKilobyteMs * request.bodyBytes / BYTES_PER_KILOBYTE;
-        const waitMs = prefill.predictMs(work, now);
-        // A wait beyond the target makes the answer late: it weighs more the nearer it comes to that.
+        const homePrefillMs = isAwayFromHome ? prefillQueue.prefillMs({ tokens: shared.tokens, held: 0 }) : 0;
+        const isOtherZone = upstream.zone !== request.zone;
+        const otherZoneMs = weights.otherZoneMs
+            + weights.otherZoneMsPerKilobyte * request.bodyBytes / BYTES_PER_KILOBYTE;
+        const waitMs = prefillQueue.predictFirstTokenMs(prefillWork, now);
+        // A wait beyond the target makes the answer late, so the weight grows as the wait approaches the target.
         return waitMs * (1 + waitMs / targetMs)
-            + rereadMs
-            + weights.runningMs * load.outstanding
+            + recomputeMs
+            + weights.runningRequestMs * load.outstanding
             + (load.outstanding >= upstream.slots ? weights.fullMs : 0)
-            + weights.overflowTargets * targetMs * overflowShare(own, request, shared.capacity)
-            + (isFar ? farMs : 0)
-            + weights.silentFactor * own.silentMs(now)
-            + weights.awayFactor * awayMs
-            + weights.failingMs * failureRate;
+            + weights.memoryOverflowTargets * targetMs
+                * memoryOverflowShare(upstreamWork, request, shared.capacityTokens)
+            + (isOtherZone ? otherZoneMs : 0)
+            + weights.unresponsiveFactor * upstreamWork.unresponsiveMs(now)
+            + weights.awayFromHomeFactor * homePrefillMs
+            + weights.failureMs * failureRate;
     }
 
-    /** The streams that would stall there beside this prompt, and the chance that its own would. */
-    private weighStalls(load: UpstreamLoad, request: ChoiceRequest, holders: Holders): number {
+    /**
+     * Weight of the streams that would stall there beside this prompt, and of the probability that its own stream
+     * would.
+     */
+    private weighStalls(load: UpstreamLoad, request: ChoiceRequest, holders: HeldTokens): number {
         const { weights } = this;
         const { targetMs } = request;
         const { id } = load.upstream;
-        const own = this.workOf(id);
-        const work = describeWork(request, holders.get(id) ?? 0);
-        return weights.stallTargets * targetMs * own.countStalled(request, work)
-            + weights.ownStallTargets * targetMs * own.chanceOfStall(request, load.tokenMs);
+        const upstreamWork = this.workOf(id);
+        const prefillWork = makePrefillWork(request, holders.get(id) ?? 0);
+        return weights.stalledStreamTargets * targetMs * upstreamWork.countStalledStreams(request, prefillWork)
+            + weights.ownStallTargets * targetMs * upstreamWork.stallProbability(request, load.tokenMs);
     }
 
     private findFetch(chosen: UpstreamLoad, request: ChoiceRequest, shared: SharedParts): PartsFetch | undefined {
         const { findSource, now } = request;
         if (!findSource || shared.tokens === 0) return undefined;
-        const findGiver = (id: UpstreamId): UpstreamLoad | undefined => {
+        const findProvider = (id: UpstreamId): UpstreamLoad | undefined => {
             const load = findSource(id);
-            return load && this.canGive(load, now) ? load : undefined;
+            return load && this.canProvideParts(load, now) ? load : undefined;
         };
-        return this.placement.findFetch(chosen, findGiver, shared.parts, now);
+        return this.placement.findFetch(chosen, findProvider, shared.parts, now);
     }
 
-    private canGive({ upstream }: UpstreamLoad, now: number): boolean {
-        // What is gone has been forgotten here, and must not be followed anew.
+    private canProvideParts({ upstream }: UpstreamLoad, now: number): boolean {
+        // An upstream that has gone was forgotten by this policy; looking up its work would create a new record.
         if (upstream.state === "gone") return false;
         const work = this.workOf(upstream.id);
-        return work.failureRate <= MOST_FAILING && work.silentMs(now) === 0;
+        return work.failureRate <= MAX_SOURCE_FAILURE_RATE && work.unresponsiveMs(now) === 0;
     }
 
     private describeShared(
         candidates: readonly UpstreamLoad[],
         request: ChoiceRequest,
-        holders: Holders,
+        holders: HeldTokens,
     ): SharedParts {
         const parts = request.parts.slice(0, -1);
         const home = this.placement.findHome(candidates, parts, holders);
-        return { parts, tokens: sumTokens(parts), home, capacity: this.capacity() ?? Number.POSITIVE_INFINITY };
+        return {
+            parts,
+            tokens: sumTokens(parts),
+            home,
+            capacityTokens: this.capacityTokens() ?? Number.POSITIVE_INFINITY,
+        };
     }
 
     private workOf(upstream: UpstreamId): UpstreamWork {
-        const known = this.work.get(upstream);
+        const known = this.workByUpstream.get(upstream);
         if (known) return known;
-        const work = new UpstreamWork(upstream, this.model, this.pauses);
-        this.work.set(upstream, work);
+        const work = new UpstreamWork(upstream, this.prefillModel, this.pauseForecast);
+        this.workByUpstream.set(upstream, work);
         return work;
     }
 }
 
-/** The share of what a request needs there that the upstream's memory lacks, from 0 to 1. */
-function overflowShare({ memory }: UpstreamWork, request: ChoiceRequest, capacity: number): number {
-    // Most have room for all of it, and need not be asked which parts are in use.
-    if (memory.tokens + request.promptTokens + request.predictedTokens <= capacity) return 0;
+/** Returns the share of the request's memory demand that exceeds the upstream's free memory, from 0 to 1. */
+function memoryOverflowShare({ memory }: UpstreamWork, request: ChoiceRequest, capacityTokens: number): number {
+    // Most upstreams have room for the whole request, so that shared parts need not be looked up.
+    if (memory.tokens + request.promptTokens + request.predictedTokens <= capacityTokens) return 0;
     const needed = memory.tokensFor(request);
-    return Math.max(0, Math.min(1, (memory.tokens + needed - capacity) / Math.max(1, needed)));
+    return Math.max(0, Math.min(1, (memory.tokens + needed - capacityTokens) / Math.max(1, needed)));
 }
 
-function describeWork({ promptTokens }: ChoiceRequest, heldTokens: number): PrefillWork {
+function makePrefillWork({ promptTokens }: ChoiceRequest, heldTokens: number): PrefillWork {
     const held = Math.min(promptTokens, heldTokens);
     return { tokens: promptTokens - held, held };
 }
--- a/src/upstream/routedWeights/index.ts
+++ b/src/upstream/routedWeights/index.ts
@@ -1,45 +1,58 @@
-/** What the parts of a choice weigh, in milliseconds of a caller's wait. */
-export interface RoutedWeights {
-    /** Reading tokens that another upstream holds: the work is lost for others, beside the time that it takes here. */
-    readonly rereadFactor: number;
-    /** Each request that runs there slows every token of the batch. */
-    readonly runningMs: number;
-    /** The way to another zone and back, and each kilobyte that crosses, which is paid for. */
+/** Weights of the terms that `RoutedChoice` adds up, in milliseconds of a caller's wait unless stated otherwise. */
+export interface FirstTokenWeights {
+    /**
+     * Factor on the prefill time of tokens that another upstream holds: besides the time that it takes here, the cached
+     * work is lost for others.
+     */
+    readonly recomputeFactor: number;
+    /** Per running request, which slows every token of the batch. */
+    readonly runningRequestMs: number;
+    /** Round trip to another zone, and the cost of each kilobyte sent across zones, which is charged for. */
     readonly otherZoneMs: number;
-    readonly otherZoneKilobyteMs: number;
-    /** An upstream all of whose requests fail. */
-    readonly failingMs: number;
-    /** A request that has to wait for a slot. */
+    readonly otherZoneMsPerKilobyte: number;
+    /** For an upstream all of whose requests fail; scaled by the failure rate. */
+    readonly failureMs: number;
+    /** For an upstream on which the request has to wait for a slot. */
     readonly fullMs: number;
-    /** A request for which the memory lacks room, or that others must yield to, in targets: it comes late, or one of them does. */
-    readonly overflowTargets: number;
-    /** Each running stream whose longest pause would be passed beside this prompt, as a share of the request's target. */
-    readonly stallTargets: number;
-    /** The chance that the request's own stream pauses for too long, in targets: it is then as late as one that waits for its whole target. */
+    /**
+     * For a request that exceeds the upstream's free memory, as a multiple of the request's target: either it comes
+     * late or one that has to make room for it does.
+     */
+    readonly memoryOverflowTargets: number;
+    /**
+     * Per running stream that this prompt would delay beyond its longest allowed pause, as a multiple of the request's
+     * target.
+     */
+    readonly stalledStreamTargets: number;
+    /**
+     * For the probability that the request's own stream pauses for too long, as a multiple of its target: it is then as
+     * late as one that waits for its whole target.
+     */
     readonly ownStallTargets: number;
-    /** Each millisecond for which a working upstream has been silent beyond what it may. */
-    readonly silentFactor: number;
+    /** Per millisecond for which a busy upstream has been silent beyond what it may. */
+    readonly unresponsiveFactor: number;
     /**
-     * Any upstream but the one to which a prompt's shared parts belong, while nobody is known to hold them: so many times what
-     * reading them takes.
+     * For any upstream but the home of the prompt's shared parts, while no upstream is known to hold them: a multiple
+     * of their prefill time.
      */
-    readonly awayFactor: number;
+    readonly awayFromHomeFactor: number;
 }
 
 /**
- * A prompt waits for its parts longer than reading them takes, since reading them again also delays all that waits behind it. A stream that
- * would stall weighs less than the request's whole target, so that long prompts are not kept back until their own deadlines.
+ * A prompt waits for its cached parts longer than their prefill takes, since recomputing them also delays everything
+ * queued behind it. A stream that would stall weighs less than the request's whole target, so that long prompts are not
+ * held back until their own deadlines.
  */
-export const DEFAULT_ROUTED_WEIGHTS: RoutedWeights = {
-    rereadFactor: 2.5,
-    runningMs: 2,
+export const DEFAULT_FIRST_TOKEN_WEIGHTS: FirstTokenWeights = {
+    recomputeFactor: 2.5,
+    runningRequestMs: 2,
     otherZoneMs: 2,
-    otherZoneKilobyteMs: 1,
-    failingMs: 1_000,
+    otherZoneMsPerKilobyte: 1,
+    failureMs: 1_000,
     fullMs: 500,
-    overflowTargets: 1,
-    stallTargets: 0.3,
+    memoryOverflowTargets: 1,
+    stalledStreamTargets: 0.3,
     ownStallTargets: 1,
-    silentFactor: 3,
-    awayFactor: 1,
+    unresponsiveFactor: 3,
+    awayFromHomeFactor: 1,
 };
--- a/src/upstream/stragglers/test.ts
+++ b/src/upstream/stragglerPolicy/test.ts
@@ -16,15 +16,15 @@
 describe("MedianStragglerPolicy", () => {
     const policy = new MedianStragglerPolicy();
 
-    it("ejects what is far slower than the median", () => {
+    it("ejects a member that is far slower than the median", () => {
         const loads = makeLoads([30, 31, 29, 100]);
         assert.deepEqual(policy.review(loads, 0), [loads[3]]);
         assert.deepEqual(loads.map(load => load.ejected), [false, false, false, true]);
     });
 
     describe("a pool that is slow as a whole", () => {
-        // Half of a pool is throttled. Without a bound on ejection its callers would all be refused, while the slow half
-        // could still have served some of them in time.
+        // Half of a pool is throttled. Without a bound on ejection its callers would all be refused, while the slow
+        // half could still have served some of them in time.
         it("keeps three quarters of its members", () => {
             const loads = makeLoads([30, 30, 30, 30, 30, 100, 110, 120]);
             policy.review(loads, 0);
@@ -32,7 +32,7 @@
         });
     });
 
-    it("probes after a while, later each time, and takes back what has recovered", () => {
+    it("probes at growing intervals, and readmits a member that has recovered", () => {
         const loads = makeLoads([30, 30, 30, 100]);
         policy.review(loads, 0);
         const straggler = loads[3];
--- a/src/upstream/upstream/index.ts
+++ b/src/upstream/upstream/index.ts
@@ -2,26 +2,26 @@
 import { Address, parseAddress } from "../../ports/index.js";
 import { Announcement } from "../../protocol/index.js";
 
-/** Whether an upstream may get work, as far as its own word goes. */
+/** Whether an upstream may get work, according to its own announcements and their absence. */
 export type UpstreamState = "ready" | "leaving" | "gone" | "silent";
 
 const UNKNOWN_ADDRESS: Address = { host: "0.0.0.0", port: 0 };
 
-/** One back end as this process knows it: its newest announcement and when that was heard. */
+/** A back end as this process knows it: its newest announcement and the time at which that was received. */
 export class Upstream {
     readonly id: UpstreamId;
     private newest: Announcement;
     private parsedAddress: Address;
-    private silent = false;
+    private isSilent = false;
     private confirmedAt = Number.NEGATIVE_INFINITY;
-    private zoneEvacuated = false;
-    /** Until when it is taken to be cold whatever it says; monotonic, in milliseconds. */
+    private inEvacuatedZone = false;
+    /** Monotonic time until which it is assumed to be cold whatever it announces, in milliseconds. */
     private assumedColdUntil = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param announcement - The first one heard.
+     * @param announcement - First announcement received.
      * @param heardAt - Monotonic time at which it left the upstream, in milliseconds.
-     * @param firstHand - Heard from the upstream itself, not from another entry.
+     * @param firstHand - Whether it was received from the upstream itself, not from another entry.
      */
     constructor(announcement: Announcement, public heardAt: number, public firstHand: boolean) {
         this.id = announcement.id as UpstreamId;
@@ -51,24 +51,27 @@
 
     get state(): UpstreamState {
         if (this.newest.state !== "ready") return this.newest.state;
-        return this.silent ? "silent" : "ready";
+        return this.isSilent ? "silent" : "ready";
     }
 
-    /** May get new work. An upstream about to be reclaimed may not, nor one whose zone is evacuated. */
+    /** Whether it may get new work: not if it is about to be reclaimed, nor if its zone is evacuated. */
     get isGrantable(): boolean {
-        return this.state === "ready" && this.newest.reclaim_in_ms === undefined && !this.zoneEvacuated;
+        return this.state === "ready" && this.newest.reclaim_in_ms === undefined && !this.inEvacuatedZone;
     }
 
     get isZoneEvacuated(): boolean {
-        return this.zoneEvacuated;
+        return this.inEvacuatedZone;
     }
 
-    /** Until when it bears few requests a second; monotonic, in milliseconds. */
+    /** Monotonic time until which it can serve only few requests per second, in milliseconds. */
     get coldUntil(): number {
         return Math.max(this.assumedColdUntil, this.heardAt + (this.newest.cold_ms ?? 0));
     }
 
-    /** Monotonic time at which it was last known to announce itself, here or at a process that confirms it, in milliseconds. */
+    /**
+     * Monotonic time at which it was last known to announce itself, to this process or to one that confirms it, in
+     * milliseconds.
+     */
     get aliveAt(): number {
         return Math.max(this.heardAt, this.confirmedAt);
     }
@@ -79,8 +82,9 @@
     }
 
     /**
-     * Says whether an announcement tells something newer. Once an incarnation has said that it leaves, nothing more of
-     * that incarnation brings it back: a relayed "ready" that crossed the "leaving" would send work to a closing engine.
+     * Returns whether an announcement is newer than the known one. Once an incarnation has announced that it leaves,
+     * nothing more of that incarnation brings it back: a relayed "ready" that crossed the "leaving" would send work to
+     * a closing engine.
      */
     isOutdatedBy(announcement: Announcement): boolean {
         const known = this.newest;
@@ -89,53 +93,53 @@
         return STATE_RANK[announcement.state] >= STATE_RANK[known.state];
     }
 
-    /** Takes over a newer announcement. */
-    absorb(announcement: Announcement, heardAt: number, firstHand: boolean): void {
+    /** Replaces the announcement by a newer one. */
+    update(announcement: Announcement, heardAt: number, firstHand: boolean): void {
         if (announcement.address !== this.newest.address) {
             this.parsedAddress = parseAddress(announcement.address) ?? UNKNOWN_ADDRESS;
         }
         this.newest = announcement;
         this.heardAt = heardAt;
         this.firstHand = firstHand;
-        this.silent = false;
+        this.isSilent = false;
     }
 
-    /** Takes over from a process that hears it when it was last heard; monotonic, in milliseconds. */
+    /** Records the monotonic time at which another process last received an announcement from it, in milliseconds. */
     confirmAlive(at: number): void {
         this.confirmedAt = at;
     }
 
-    /** Marks it as heard of again. */
-    markHeard(): void {
-        this.silent = false;
+    /** Marks it as announcing itself again. */
+    clearSilent(): void {
+        this.isSilent = false;
     }
 
     /** Sets whether its zone is evacuated. */
     setZoneEvacuated(isEvacuated: boolean): void {
-        this.zoneEvacuated = isEvacuated;
+        this.inEvacuatedZone = isEvacuated;
     }
 
     /**
-     * Takes it to be cold, even if it says that it is not: it may have become so since.
+     * Assumes that it is cold even if it announces otherwise: it may have become cold since.
      *
-     * @param until - Monotonic, in milliseconds.
+     * @param until - Monotonic time, in milliseconds.
      */
     assumeCold(until: number): void {
         this.assumedColdUntil = until;
     }
 
-    /** Marks it as not heard of for too long. */
+    /** Marks it as not having announced itself for too long. */
     markSilent(): void {
-        this.silent = true;
+        this.isSilent = true;
     }
 }
 
 /**
- * Whether two announcements say the same of all but load and caches: where the upstream is, what it serves, and whether it may get work,
- * be it little.
+ * Returns whether two announcements agree in everything but load and caches: the upstream's location, what it serves,
+ * and whether it may get work, even if little.
  *
  * @param one - An announcement.
- * @param other - Another one of the same upstream.
+ * @param other - Another announcement of the same upstream.
  */
 export function isSameMembership(one: Announcement, other: Announcement): boolean {
     return one.incarnation === other.incarnation
@@ -147,13 +151,13 @@
         && one.price_per_hour === other.price_per_hour
         && one.reclaimable === other.reclaimable
         && one.checks_fence === other.checks_fence
-        && isCold(one) === isCold(other)
+        && announcesCold(one) === announcesCold(other)
         && (one.reclaim_in_ms === undefined) === (other.reclaim_in_ms === undefined)
         && one.pools.length === other.pools.length
         && one.pools.every((pool, at) => pool === other.pools[at]);
 }
 
-function isCold({ cold_ms: coldMs = 0 }: Announcement): boolean {
+function announcesCold({ cold_ms: coldMs = 0 }: Announcement): boolean {
     return coldMs > 0;
 }
 
--- a/src/upstream/registry/index.ts
+++ b/src/upstream/upstreamRegistry/index.ts
@@ -3,41 +3,50 @@
 import { Announcement } from "../../protocol/index.js";
 import { isSameMembership, Upstream } from "../upstream/index.js";
 
-/** An announcement on its way from one entry to another. */
+/** An announcement passed from one entry to another. */
 export interface SpreadRecord {
     readonly announcement: Announcement;
-    /** How long ago the upstream sent it, in milliseconds, when this record was made. */
+    /** Time between the sending by the upstream and the creation of this record, in milliseconds. */
     readonly ageMs: number;
-    /** Whoever made this record has it from another process, and does not hear the upstream itself. */
+    /**
+     * Whether the process that created this record received the announcement from another process, not from the
+     * upstream itself.
+     */
     readonly relayed?: boolean;
 }
 
-/** What an entry has learned since a version. */
+/** Changes of the registry since a version. */
 export interface RegistryChanges {
-    /** Ask again from here. */
+    /** Version to pass to the next call of `changesSince`. */
     readonly version: number;
     readonly records: readonly SpreadRecord[];
 }
 
 /**
- * `heard`: only what came from the upstreams themselves, and leavers whoever told of them, since missing one of these does harm;
- * `membership`: the same, where something else than load and caches has changed;
+ * Selects which changes are returned.
+ *
+ * `heard`: only those received from the upstreams themselves, and departures from any source, since missing one of
+ * these does harm;
+ * `membership`: the same, if anything but load and caches has changed;
  * `all`: other relayed records too, for a process that starts.
  */
 export type SpreadScope = "heard" | "membership" | "all";
 
-/** How long the registry believes what it has heard. */
+/** Time limits of the registry. */
 export interface RegistryTiming {
-    /** An upstream not heard of for this long gets no new work, in milliseconds. */
+    /** An upstream that has not announced itself for this long gets no new work, in milliseconds. */
     readonly silentAfterMs: number;
-    /** How long a leaver is remembered, in milliseconds: longer than any announcement can be under way. */
+    /**
+     * Time for which a departed upstream is remembered, in milliseconds: longer than any announcement can be in
+     * transit.
+     */
     readonly tombstoneMs: number;
 }
 
-/** Four announcements lost in a row mean silence; a tombstone outlives every buffer between two hosts. */
+/** Four consecutive lost announcements make an upstream silent; a tombstone outlives every buffer between two hosts. */
 export const DEFAULT_REGISTRY_TIMING: RegistryTiming = { silentAfterMs: 2_000, tombstoneMs: 3_600_000 };
 
-/** Told of each upstream whose announcement or state changed. */
+/** Called with each upstream whose announcement or state changed. */
 export type UpstreamListener = (upstream: Upstream) => void;
 
 interface Change {
@@ -45,11 +54,11 @@
     readonly id: UpstreamId;
 }
 
-const LOG_SLACK = 64;
+const CHANGE_LOG_SLACK = 64;
 
 /**
- * All upstreams that this process has heard of. There is no list of upstreams: they announce themselves to any entry,
- * and entries spread what they heard.
+ * All upstreams that this process has discovered. There is no configured list of upstreams: they announce themselves to
+ * any entry, and entries pass their announcements on to each other.
  *
  * @example
  * const registry = new UpstreamRegistry({ clock });
@@ -61,67 +70,67 @@
     private readonly timing: RegistryTiming;
     private readonly upstreams = new Map<UpstreamId, Upstream>();
     private readonly versions = new Map<UpstreamId, number>();
-    /** The version at which more than load and caches last changed. */
+    /** Version at which anything but load and caches last changed. */
     private readonly membershipVersions = new Map<UpstreamId, number>();
     private readonly byPool = new Map<PoolId, Map<UpstreamId, Upstream>>();
     private readonly listeners: UpstreamListener[] = [];
     private evacuatedZones: ReadonlySet<ZoneId> = new Set();
-    private log: Change[] = [];
+    private changeLog: Change[] = [];
     private version = 0;
 
-    /** @param options - Time and, for tests, other bounds. */
+    /** @param options - The clock and, for tests, other time limits. */
     constructor(options: { readonly clock: Clock; readonly timing?: RegistryTiming; }) {
         this.clock = options.clock;
         this.timing = options.timing ?? DEFAULT_REGISTRY_TIMING;
     }
 
     /**
-     * Takes an announcement from the upstream itself.
+     * Applies an announcement received from the upstream itself.
      *
-     * @param announcement - What it said.
+     * @param announcement - The announcement.
      * @param now - Monotonic time of its arrival, in milliseconds.
-     * @returns Whether it told something new.
+     * @returns Whether it was newer than the known one.
      */
     announce(announcement: Announcement, now: number = this.clock.monotonic()): boolean {
-        return this.take(announcement, now, true);
+        return this.accept(announcement, now, true);
     }
 
     /**
-     * Takes records that another entry spread.
+     * Applies records received from another entry.
      *
-     * @param records - From the other's `changesSince`.
+     * @param records - Result of the other entry's `changesSince`.
      * @param now - Monotonic time of their arrival, in milliseconds.
-     * @returns How many told something new.
+     * @returns How many were newer than the known announcements.
      */
     merge(records: readonly SpreadRecord[], now: number = this.clock.monotonic()): number {
-        const isNews = (record: SpreadRecord): boolean => {
+        const isNew = (record: SpreadRecord): boolean => {
             if (record.announcement.state === "ready" && record.ageMs >= this.timing.silentAfterMs) return false;
-            return this.take(record.announcement, now - record.ageMs, false);
+            return this.accept(record.announcement, now - record.ageMs, false);
         };
-        return records.filter(isNews).length;
+        return records.filter(isNew).length;
     }
 
-    /** The version of what was last learned. */
+    /** Version of the latest change. */
     get latestVersion(): number {
         return this.version;
     }
 
     /**
-     * What was learned after a version. Costs as much as there are changes, not upstreams.
+     * Returns the changes after a version. The cost grows with the number of changes, not of upstreams.
      *
-     * @param version - From an earlier call; 0 for the start.
-     * @param scope - Whether relayed records are included.
+     * @param version - Version from an earlier call; 0 for the start.
+     * @param scope - Selects which changes are included.
      */
     changesSince(version: number, scope: SpreadScope = "heard"): RegistryChanges {
         const now = this.clock.monotonic();
         const records: SpreadRecord[] = [];
-        for (let index = this.log.length - 1; index >= 0 && this.log[index].version > version; index--) {
-            const change = this.log[index];
+        for (let index = this.changeLog.length - 1; index >= 0 && this.changeLog[index].version > version; index--) {
+            const change = this.changeLog[index];
             const upstream = this.upstreams.get(change.id);
             if (!upstream || this.versions.get(change.id) !== change.version) continue;
             const relayed = !upstream.firstHand;
-            const isRelayedNews = relayed && upstream.announcement.state === "ready";
-            if (scope !== "all" && isRelayedNews) continue;
+            const isRelayedReady = relayed && upstream.announcement.state === "ready";
+            if (scope !== "all" && isRelayedReady) continue;
             if (scope === "membership" && this.membershipVersions.get(change.id)! <= version) continue;
             const ageMs = now - upstream.heardAt;
             records.push({ announcement: upstream.announcement, ageMs, ...(relayed && { relayed }) });
@@ -129,17 +138,17 @@
         return { version: this.version, records };
     }
 
-    /** The upstreams of a pool that were not forgotten, whatever their state. */
+    /** Returns the upstreams of a pool that have not been forgotten, whatever their state. */
     list(pool: PoolId): readonly Upstream[] {
         return [...this.byPool.get(pool)?.values() ?? []];
     }
 
-    /** The pools that any upstream serves. */
+    /** Returns the pools served by any upstream. */
     pools(): readonly PoolId[] {
         return [...this.byPool.keys()];
     }
 
-    /** All upstreams that were not forgotten, whatever their state. */
+    /** Returns all upstreams that have not been forgotten, whatever their state. */
     listAll(): readonly Upstream[] {
         return [...this.upstreams.values()];
     }
@@ -148,15 +157,16 @@
         return this.upstreams.get(id);
     }
 
-    /** Sets who is told of changes. */
+    /** Registers a listener for changes. */
     onChange(listener: UpstreamListener): void {
         this.listeners.push(listener);
     }
 
     /**
-     * Takes the word of another process that it hears upstreams: what has not changed is not spread again and again.
+     * Applies another process's confirmation that it receives the upstreams' announcements, so that unchanged
+     * announcements need not be passed on again.
      *
-     * @param at - Monotonic time at which they were heard, in milliseconds.
+     * @param at - Monotonic time at which they were received, in milliseconds.
      */
     confirmAlive(ids: Iterable<UpstreamId>, at: number): void {
         const isRecent = this.clock.monotonic() - at < this.timing.silentAfterMs;
@@ -165,19 +175,19 @@
             if (upstream?.announcement.state !== "ready") continue;
             upstream.confirmAlive(at);
             if (!isRecent || upstream.state !== "silent") continue;
-            upstream.markHeard();
-            this.tell(upstream);
+            upstream.clearSilent();
+            this.notify(upstream);
         }
     }
 
     /**
      * Sets which zones are evacuated: their upstreams get no work.
      *
-     * Guards against upstreams that are overrun as their zone is restored: they may have become cold meanwhile, and say so with their next
-     * announcement only. Until then they are taken to be cold.
+     * The upstreams of a restored zone are assumed to be cold for as long as after a start: they may have become cold
+     * meanwhile, and would be overloaded before their next announcement says so.
      *
      * @param zones - All evacuated zones.
-     * @param coldMsOf - How long an upstream of a pool is cold after its start, in milliseconds.
+     * @param coldMsOf - Returns how long an upstream of a pool is cold after its start, in milliseconds.
      */
     setEvacuatedZones(zones: readonly ZoneId[], coldMsOf: (pool: PoolId) => number): void {
         const before = this.evacuatedZones;
@@ -188,11 +198,11 @@
             if (isEvacuated === before.has(upstream.zone)) continue;
             upstream.setZoneEvacuated(isEvacuated);
             if (!isEvacuated) upstream.assumeCold(now + Math.max(...upstream.pools.map(coldMsOf)));
-            this.tell(upstream);
+            this.notify(upstream);
         }
     }
 
-    /** Marks silent upstreams and forgets old leavers. Call it a few times a second. */
+    /** Marks silent upstreams and forgets expired tombstones. To be called a few times per second. */
     expire(now: number = this.clock.monotonic()): void {
         for (const upstream of [...this.upstreams.values()]) {
             const quietMs = now - upstream.aliveAt;
@@ -201,29 +211,30 @@
             }
             else if (upstream.state === "ready" && quietMs >= this.timing.silentAfterMs) {
                 upstream.markSilent();
-                this.tell(upstream);
+                this.notify(upstream);
             }
         }
     }
 
-    private take(announcement: Announcement, heardAt: number, firstHand: boolean): boolean {
+    private accept(announcement: Announcement, heardAt: number, firstHand: boolean): boolean {
         const id = announcement.id as UpstreamId;
         const known = this.upstreams.get(id);
         if (known && !known.isOutdatedBy(announcement)) return false;
         const upstream = known ?? new Upstream(announcement, heardAt, firstHand);
-        // An upstream that now announces itself here is news too: whoever heard it before confirms it no longer.
-        const isMembershipNews = !known
+        // An upstream that starts to announce itself here counts as a change too: the process that received it before
+        // no longer confirms it.
+        const isMembershipChange = !known
             || known.state === "silent"
             || (firstHand && !known.firstHand)
             || !isSameMembership(known.announcement, announcement);
         if (known) this.removeFromPools(known);
-        known?.absorb(announcement, heardAt, firstHand);
+        known?.update(announcement, heardAt, firstHand);
         upstream.setZoneEvacuated(this.evacuatedZones.has(upstream.zone));
         this.upstreams.set(id, upstream);
         this.addToPools(upstream);
-        this.record(id);
-        if (isMembershipNews) this.membershipVersions.set(id, this.version);
-        this.tell(upstream);
+        this.recordChange(id);
+        if (isMembershipChange) this.membershipVersions.set(id, this.version);
+        this.notify(upstream);
         return true;
     }
 
@@ -243,12 +254,12 @@
         }
     }
 
-    private record(id: UpstreamId): void {
+    private recordChange(id: UpstreamId): void {
         this.version++;
         this.versions.set(id, this.version);
-        this.log.push({ version: this.version, id });
-        if (this.log.length <= 2 * this.upstreams.size + LOG_SLACK) return;
-        this.log = this.log.filter(change => this.versions.get(change.id) === change.version);
+        this.changeLog.push({ version: this.version, id });
+        if (this.changeLog.length <= 2 * this.upstreams.size + CHANGE_LOG_SLACK) return;
+        this.changeLog = this.changeLog.filter(change => this.versions.get(change.id) === change.version);
     }
 
     private forget(upstream: Upstream): void {
@@ -258,7 +269,7 @@
         this.removeFromPools(upstream);
     }
 
-    private tell(upstream: Upstream): void {
+    private notify(upstream: Upstream): void {
         for (const listener of this.listeners) listener(upstream);
     }
 }
--- a/src/upstream/registry/test.ts
+++ b/src/upstream/upstreamRegistry/test.ts
@@ -15,7 +15,7 @@
 
 describe("UpstreamRegistry", () => {
     describe("announce", () => {
-        it("takes a higher incarnation or sequence and nothing else", () => {
+        it("accepts a higher incarnation or sequence and nothing else", () => {
             const { registry } = makeRegistry();
             assert.ok(registry.announce(makeAnnouncement({ incarnation: 2, sequence: 5 })));
             assert.ok(!registry.announce(makeAnnouncement({ incarnation: 2, sequence: 5 })));
@@ -32,11 +32,11 @@
         });
     });
 
-    describe("a leaver whose announcements arrive late", () => {
-        // A caller's stream is cut off in the middle: its request was sent to an engine that had said it would leave.
-        // The "ready" said just before went through a slower entry and came after the "leaving".
+    describe("a departed upstream whose announcements arrive late", () => {
+        // A caller's stream was cut off: its request was sent to an engine that had announced that it would leave. The
+        // preceding "ready" came through a slower entry and arrived after the "leaving".
         for (const state of ["leaving", "gone"] as const) {
-            it(`stays away after "${state}"`, () => {
+            it(`stays excluded after "${state}"`, () => {
                 const { registry } = makeRegistry();
                 registry.announce(makeAnnouncement({ sequence: 7, state }));
                 registry.merge([{ announcement: makeAnnouncement({ sequence: 6 }), ageMs: 400 }]);
@@ -45,7 +45,7 @@
             });
         }
 
-        it("is not brought back by a relay after its tombstone has gone", async () => {
+        it("is not brought back by a relayed announcement after its tombstone has expired", async () => {
             const { clock, registry } = makeRegistry();
             registry.announce(makeAnnouncement({ sequence: 7, state: "gone" }));
             await clock.advance(4_000_000);
@@ -64,7 +64,7 @@
     });
 
     describe("expire", () => {
-        it("takes a silent upstream out until it is heard again", async () => {
+        it("excludes a silent upstream until it announces itself again", async () => {
             const { clock, registry } = makeRegistry();
             registry.announce(makeAnnouncement());
             await clock.advance(2_000);
@@ -75,8 +75,8 @@
         });
     });
 
-    describe("vouch", () => {
-        it("keeps an upstream that another process hears, and takes it back", async () => {
+    describe("confirmAlive", () => {
+        it("keeps an upstream that another process confirms, and readmits it", async () => {
             const { clock, registry } = makeRegistry();
             registry.announce(makeAnnouncement());
             await clock.advance(1_500);
@@ -91,7 +91,7 @@
             assert.equal(registry.get(ID)?.state, "ready");
         });
 
-        it("brings no leaver back", () => {
+        it("does not bring a leaving upstream back", () => {
             const { clock, registry } = makeRegistry();
             registry.announce(makeAnnouncement({ state: "leaving" }));
             registry.confirmAlive([ID], clock.monotonic());
@@ -100,7 +100,7 @@
     });
 
     describe("changesSince", () => {
-        it("gives as membership what is more than load", () => {
+        it("returns as membership only changes of more than load", () => {
             const { registry } = makeRegistry();
             registry.announce(makeAnnouncement());
             const { version } = registry.changesSince(0);
@@ -112,7 +112,7 @@
             assert.equal(registry.changesSince(version, "membership").records.length, 1);
         });
 
-        it("gives each changed upstream once, with its age", async () => {
+        it("returns each changed upstream once, with its age", async () => {
             const { clock, registry } = makeRegistry();
             registry.announce(makeAnnouncement());
             registry.announce(makeAnnouncement({ sequence: 2 }));
@@ -124,7 +124,7 @@
             assert.deepEqual(later.map(record => [record.announcement.id, record.ageMs]), [["u2", 30]]);
         });
 
-        it("spreads only what was heard at first hand, unless all is asked for", () => {
+        it("returns only records received at first hand, unless all are requested", () => {
             const { registry } = makeRegistry();
             registry.merge([{ announcement: makeAnnouncement(), ageMs: 0 }]);
             assert.equal(registry.changesSince(0).records.length, 0);
--- a/src/upstream/upstreamWork/index.ts
+++ b/src/upstream/upstreamWork/index.ts
@@ -1,152 +1,173 @@
 import { UpstreamId } from "../../ids/index.js";
 import { ChoiceRequest } from "../choice/index.js";
-import { MemoryShape, MemoryUse } from "../memoryUse/index.js";
+import { MemoryDemand, MemoryUse } from "../memoryUse/index.js";
 import { PauseForecast } from "../pauseForecast/index.js";
-import { PendingPrefill, PrefillClock } from "../prefillClock/index.js";
+import { PendingPrefill, PrefillQueue } from "../prefillClock/index.js";
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
-import { ReadingHistory, ReadingStretch } from "../readingHistory/index.js";
+import { PrefillHistory, PrefillPeriod } from "../readingHistory/index.js";
 
 /**
- * How long a working upstream may give no sign, in milliseconds, beside what it still has to read: entries pass on what has come every
- * 200 ms, and a plain service may work on one call for nearly half a second.
+ * How long a working upstream may show no progress beyond its pending prefill, in milliseconds: entries report progress
+ * every 200 ms, and a plain service may work on one call for nearly half a second.
  */
-const SILENCE_MS = 600;
-/** How much of the failure rate one outcome makes. */
-const FAILURE_WEIGHT = 0.1;
-/** How long a token takes where no pace was seen yet, in milliseconds: that of a mid-size model on current hardware. */
-const USUAL_PACE_MS = 10;
+const MAX_QUIET_MS = 600;
+/** Weight of one outcome in the failure rate. */
+const FAILURE_SMOOTHING = 0.1;
+/** Time per token assumed before any was observed, in milliseconds: that of a mid-size model on current hardware. */
+const DEFAULT_TOKEN_MS = 10;
 
-/** What decides which pause is too long for a stream. */
-type StreamShape = Pick<ChoiceRequest, "gapMs" | "eventTokens">;
+/** Fields that determine which pause is too long for a stream. */
+type PauseLimits = Pick<ChoiceRequest, "gapMs" | "eventTokens">;
 
-/** A request that was granted and has not ended. */
-export interface GrantedRequest extends StreamShape, MemoryShape {
+/** A granted request that has not ended. */
+export interface GrantedRequest extends PauseLimits, MemoryDemand {
     readonly upstream: UpstreamId;
-    pending: PendingPrefill | undefined;
-    /** When its first token came; monotonic, in milliseconds. */
+    prefill: PendingPrefill | undefined;
+    /** Monotonic time of its first token, in milliseconds. */
     startedAt: number;
-    /** The longest stretch of reading beside it so far. */
-    beside: ReadingStretch | undefined;
-    /** How probable it is that it has paused for too long already, or will, from 0 to 1. */
-    lateChance: number;
+    /** Longest prefill period beside it so far. */
+    longestPeriod: PrefillPeriod | undefined;
+    /** Probability that it has already paused for too long or will, from 0 to 1. */
+    lateProbability: number;
 }
 
-/** What one upstream was given to do, as far as this process granted it, and how it gets on with it. */
+/** Tracks the requests that this process granted to one upstream, and the upstream's progress with them. */
 export class UpstreamWork {
-    readonly prefill: PrefillClock;
+    readonly prefillQueue: PrefillQueue;
     readonly memory = new MemoryUse();
-    private readonly reading = new ReadingHistory();
+    private readonly prefillHistory = new PrefillHistory();
     private readonly running = new Set<GrantedRequest>();
-    /** When it last gave a sign of work, or began to work after a rest; monotonic, in milliseconds. */
-    private heardAt = 0;
-    private failures = 0;
-
-    constructor(private readonly upstream: UpstreamId, model: PrefillModel, private readonly pauses: PauseForecast) {
-        this.prefill = new PrefillClock(model);
+    /** Monotonic time of the last sign of progress, or of the first request after an idle time, in milliseconds. */
+    private lastProgressAt = 0;
+    private failureShare = 0;
+
+    constructor(
+        private readonly upstream: UpstreamId,
+        model: PrefillModel,
+        private readonly pauseForecast: PauseForecast,
+    ) {
+        this.prefillQueue = new PrefillQueue(model);
     }
 
-    /** The share of its last requests that failed, from 0 to 1. */
+    /** Share of the latest requests that failed, from 0 to 1: an exponential moving average. */
     get failureRate(): number {
-        return this.failures;
+        return this.failureShare;
     }
 
-    /** A request is sent there. The streams that run there stand still for the stretch of reading that goes on now. */
+    /** Records that a request is sent there. Running streams pause during the current prefill period. */
     begin(request: ChoiceRequest, work: PrefillWork): GrantedRequest {
         const { now, promptTokens } = request;
-        const pending = this.prefill.begin(work, now);
-        const stretch = this.reading.note(now + this.prefill.backlogMs(now), promptTokens, now);
+        const prefill = this.prefillQueue.add(work, now);
+        const period = this.prefillHistory.record(now + this.prefillQueue.backlogMs(now), promptTokens, now);
         for (const stream of this.running) {
-            if (!stream.pending) this.noteBeside(stream, stretch);
+            if (!stream.prefill) this.recordPeriodBeside(stream, period);
         }
-        return this.add(request, now, pending);
+        return this.add(request, now, prefill);
     }
 
-    /** A request runs there by another process' grant, for so many milliseconds. Whether it has shown a token is not known; most have. */
+    /**
+     * Records a request granted by another process that has been running for `runningMs` milliseconds. Whether it has
+     * produced a token is unknown; most have.
+     */
     adopt(request: ChoiceRequest, runningMs: number): GrantedRequest {
         return this.add(request, request.now - runningMs, undefined);
     }
 
     /**
-     * Tokens of a request have come.
+     * Records that tokens of a request have arrived.
      *
-     * @returns Whether its prompt has just been read.
+     * @returns Whether its prefill has just finished.
      */
     progressed(granted: GrantedRequest, isFirst: boolean, now: number): boolean {
-        this.heardAt = now;
-        if (!isFirst || !granted.pending) return false;
-        this.prefill.finish(granted.pending, now);
-        granted.pending = undefined;
+        this.lastProgressAt = now;
+        if (!isFirst || !granted.prefill) return false;
+        this.prefillQueue.finish(granted.prefill, now);
+        granted.prefill = undefined;
         granted.startedAt = now;
         return true;
     }
 
-    /** As `UpstreamChoice.ended`. */
+    /** See `UpstreamChoice.ended`. */
     ended(granted: GrantedRequest, failed: boolean | undefined, now: number, longestGapMs: number | undefined): void {
         if (this.running.delete(granted)) this.memory.remove(granted);
-        if (granted.pending) this.prefill.end(granted.pending, now);
+        if (granted.prefill) this.prefillQueue.remove(granted.prefill, now);
         if (longestGapMs !== undefined) this.learnPause(granted, longestGapMs, now);
         if (failed === undefined) return;
-        if (!failed) this.heardAt = now;
-        this.failures += FAILURE_WEIGHT * ((failed ? 1 : 0) - this.failures);
+        if (!failed) this.lastProgressAt = now;
+        this.failureShare += FAILURE_SMOOTHING * ((failed ? 1 : 0) - this.failureShare);
     }
 
-    /** How long it has been silent beyond what a working upstream may, in milliseconds. */
-    silentMs(now: number): number {
+    /** Returns how long the upstream has been silent beyond what a working one may be, in milliseconds. */
+    unresponsiveMs(now: number): number {
         if (this.running.size === 0) return 0;
-        return Math.max(0, now - this.heardAt - SILENCE_MS - this.prefill.backlogMs(now));
+        return Math.max(0, now - this.lastProgressAt - MAX_QUIET_MS - this.prefillQueue.backlogMs(now));
     }
 
-    /** How many streams that run there would pause for too long beside this prompt, and would not without it. */
-    countStalled({ promptTokens, now }: ChoiceRequest, work: PrefillWork): number {
-        const endsAt = now + this.prefill.backlogMs(now) + this.prefill.readMs(work);
-        const stretch = this.reading.extend(endsAt, promptTokens, now);
+    /**
+     * Returns the expected number of running streams that would pause for too long beside this prompt, and would not
+     * without it.
+     */
+    countStalledStreams({ promptTokens, now }: ChoiceRequest, work: PrefillWork): number {
+        const endsAt = now + this.prefillQueue.backlogMs(now) + this.prefillQueue.prefillMs(work);
+        const period = this.prefillHistory.extend(endsAt, promptTokens, now);
         let count = 0;
         for (const stream of this.running) {
-            if (!stream.pending) count += Math.max(0, this.chanceTooLong(stretch, stream) - stream.lateChance);
+            if (!stream.prefill) count += Math.max(0, this.overrunProbability(period, stream) - stream.lateProbability);
         }
         return count;
     }
 
     /**
-     * How probable it is that this request's own stream would pause for too long there, from 0 to 1.
+     * Returns the probability that this request's own stream would pause for too long there, from 0 to 1.
      *
-     * @param tokenMs - The time between two tokens there, in milliseconds, where it was seen.
+     * @param tokenMs - Observed time between two tokens there, in milliseconds; undefined if none was observed.
      */
-    chanceOfStall(request: ChoiceRequest, tokenMs: number | undefined): number {
+    stallProbability(request: ChoiceRequest, tokenMs: number | undefined): number {
         if (request.gapMs === undefined) return 0;
-        const harmOf = (stretch: ReadingStretch): number => this.chanceTooLong(stretch, request);
-        const runningMs = request.predictedTokens * (tokenMs ?? USUAL_PACE_MS);
-        return this.reading.chanceOfHarm(harmOf, runningMs, request.now);
+        const overrunOf = (period: PrefillPeriod): number => this.overrunProbability(period, request);
+        const runningMs = request.predictedTokens * (tokenMs ?? DEFAULT_TOKEN_MS);
+        return this.prefillHistory.harmProbability(overrunOf, runningMs, request.now);
     }
 
-    private add(request: ChoiceRequest, startedAt: number, pending: PendingPrefill | undefined): GrantedRequest {
+    private add(request: ChoiceRequest, startedAt: number, prefill: PendingPrefill | undefined): GrantedRequest {
         const { upstream } = this;
         const { parts, promptTokens, predictedTokens, gapMs, eventTokens, now } = request;
-        if (this.running.size === 0) this.heardAt = now;
-        const shape = { parts, promptTokens, predictedTokens, gapMs, eventTokens };
-        const granted = { upstream, ...shape, pending, startedAt, beside: undefined, lateChance: 0 };
+        if (this.running.size === 0) this.lastProgressAt = now;
+        const requestFields = { parts, promptTokens, predictedTokens, gapMs, eventTokens };
+        const granted = {
+            upstream,
+            ...requestFields,
+            prefill,
+            startedAt,
+            longestPeriod: undefined,
+            lateProbability: 0,
+        };
         this.running.add(granted);
         this.memory.add(granted);
         return granted;
     }
 
-    private noteBeside(stream: GrantedRequest, stretch: ReadingStretch): void {
-        if (!stream.beside || lengthOf(stretch) >= lengthOf(stream.beside)) stream.beside = stretch;
-        stream.lateChance = Math.max(stream.lateChance, this.chanceTooLong(stretch, stream));
+    private recordPeriodBeside(stream: GrantedRequest, period: PrefillPeriod): void {
+        if (!stream.longestPeriod || lengthMs(period) >= lengthMs(stream.longestPeriod)) stream.longestPeriod = period;
+        stream.lateProbability = Math.max(stream.lateProbability, this.overrunProbability(period, stream));
     }
 
-    private chanceTooLong(stretch: ReadingStretch, { gapMs, eventTokens }: StreamShape): number {
-        return gapMs === undefined ? 0 : this.pauses.chanceTooLong(stretch, eventTokens, gapMs);
+    private overrunProbability(period: PrefillPeriod, { gapMs, eventTokens }: PauseLimits): number {
+        return gapMs === undefined ? 0 : this.pauseForecast.overrunProbability(period, eventTokens, gapMs);
     }
 
-    private learnPause({ beside, startedAt, eventTokens }: GrantedRequest, longestGapMs: number, now: number): void {
-        if (!beside) return;
-        const startsAt = Math.max(startedAt, beside.startsAt);
-        const endsAt = Math.min(now, beside.endsAt);
-        this.pauses.learn({ ...beside, startsAt, endsAt }, eventTokens, longestGapMs);
+    private learnPause(
+        { longestPeriod, startedAt, eventTokens }: GrantedRequest,
+        longestGapMs: number,
+        now: number,
+    ): void {
+        if (!longestPeriod) return;
+        const startsAt = Math.max(startedAt, longestPeriod.startsAt);
+        const endsAt = Math.min(now, longestPeriod.endsAt);
+        this.pauseForecast.learn({ ...longestPeriod, startsAt, endsAt }, eventTokens, longestGapMs);
     }
 }
 
-function lengthOf({ startsAt, endsAt }: ReadingStretch): number {
+function lengthMs({ startsAt, endsAt }: PrefillPeriod): number {
     return endsAt - startsAt;
 }
