--- a/src/quarantine/crashGuard/index.ts
+++ b/src/quarantine/crashGuard/index.ts
@@ -1,22 +1,25 @@
 import { RequestFingerprint, UpstreamId } from "../../ids/index.js";
 import { Address } from "../../ports/index.js";
 
-/** Keeps requests that crash upstreams away from further ones; told of what becomes of requests, asked before each send. */
+/**
+ * Keeps requests that crash upstreams away from further ones. It is notified of the outcome of requests, and queried
+ * before each send.
+ */
 export abstract class CrashGuard {
     /**
-     * How long a request is still quarantined.
+     * Returns the remaining quarantine of a request.
      *
-     * @returns Milliseconds; undefined when it may run.
+     * @returns Milliseconds; undefined if it may run.
      */
     abstract quarantineLeftMs(fingerprint: RequestFingerprint): number | undefined;
 
-    /** Told that an upstream has run a request to its end. */
+    /** Called when an upstream has run a request to its end. */
     abstract noteServed(fingerprint: RequestFingerprint): void;
 
     /**
-     * Told that an upstream ended the connection while it had a request, whether it crashed or not.
+     * Called when an upstream ended the connection while it was running a request, whether it crashed or not.
      *
-     * @param address - Where the request was sent.
+     * @param address - Address that the request was sent to.
      */
     abstract noteConnectionEnded(fingerprint: RequestFingerprint, upstream: UpstreamId, address: Address): void;
 }
--- a/src/quarantine/index.ts
+++ b/src/quarantine/index.ts
@@ -1,4 +1,7 @@
-/** Requests that crash the upstreams that run them: known by their content, and kept away from further upstreams. */
+/**
+ * Quarantine of requests that crash the upstreams that run them: such requests are identified by their content and not
+ * sent to further upstreams.
+ */
 export * from "./crashGuard/index.js";
 export * from "./quarantineTable/index.js";
 export * from "./requestFingerprint/index.js";
--- a/src/quarantine/quarantineTable/test.ts
+++ b/src/quarantine/quarantineTable/test.ts
@@ -5,7 +5,7 @@
 
 const HOUR_MS = 3_600_000;
 const SUSPECT = "f1" as RequestFingerprint;
-const BESIDE = "f2" as RequestFingerprint;
+const BYSTANDER = "f2" as RequestFingerprint;
 
 describe("QuarantineTable", () => {
     let index = 0;
@@ -21,7 +21,7 @@
         return table.apply({ kind: "crash.note", crashes }, { index: ++index as LogIndex, proposedAt });
     }
 
-    function isHeld(table: QuarantineTable, fingerprint = SUSPECT): boolean {
+    function isQuarantined(table: QuarantineTable, fingerprint = SUSPECT): boolean {
         return table.find(fingerprint) !== undefined;
     }
 
@@ -29,7 +29,7 @@
         for (const upstream of ["a", "b", "c"]) crash(table, `${upstream}${at}`, [SUSPECT], at);
     }
 
-    it("quarantines a request with the third upstream that it crashes, and says so once", () => {
+    it("quarantines a request after the third upstream that it crashes, and reports it once", () => {
         const table = new QuarantineTable();
         assert.deepEqual([crash(table, "a").state, crash(table, "b").state], ["unchanged", "unchanged"]);
         const third = crash(table, "c");
@@ -39,24 +39,24 @@
         assert.equal(table.revision, third.revision);
     });
 
-    it("counts a crash once, whoever notes it and however often", () => {
+    it("counts a crash once, however often it is recorded", () => {
         const table = new QuarantineTable();
         for (let time = 0; time < 2 * CRASHES_TO_QUARANTINE; time++) crash(table, "a");
-        assert.equal(isHeld(table), false);
+        assert.equal(isQuarantined(table), false);
     });
 
-    it("counts each run of an upstream that comes back under its id", () => {
+    it("counts each incarnation of an upstream that restarts under its id", () => {
         const table = new QuarantineTable();
         for (const run of [1, 2, 3]) crash(table, "a", [SUSPECT], 0, run);
-        assert.equal(isHeld(table), true);
+        assert.equal(isQuarantined(table), true);
     });
 
-    it("leaves a request alone that ran beside one of the crashes", () => {
+    it("does not quarantine a request that was running during only some of the crashes", () => {
         const table = new QuarantineTable();
-        crash(table, "a", [SUSPECT, BESIDE]);
+        crash(table, "a", [SUSPECT, BYSTANDER]);
         crash(table, "b", [SUSPECT]);
-        crash(table, "c", [SUSPECT, BESIDE]);
-        assert.deepEqual([isHeld(table), isHeld(table, BESIDE)], [true, false]);
+        crash(table, "c", [SUSPECT, BYSTANDER]);
+        assert.deepEqual([isQuarantined(table), isQuarantined(table, BYSTANDER)], [true, false]);
     });
 
     it("forgets crashes that are old", () => {
@@ -64,7 +64,7 @@
         crash(table, "a");
         crash(table, "b", [SUSPECT], HOUR_MS / 2);
         crash(table, "c", [SUSPECT], 2 * HOUR_MS);
-        assert.equal(isHeld(table), false);
+        assert.equal(isQuarantined(table), false);
     });
 
     describe("when a quarantine ends", () => {
@@ -77,15 +77,15 @@
             assert.equal(table.find(SUSPECT)?.until, HOUR_MS + 1 + 4 * HOUR_MS);
         });
 
-        it("changes the revision, so that entries hear of it", () => {
+        it("changes the revision, so that entries are notified", () => {
             const table = new QuarantineTable();
             crashThree(table);
-            const result = crash(table, "d", [BESIDE], HOUR_MS + 1);
-            assert.deepEqual([result.state, isHeld(table), table.revision], ["changed", false, index]);
+            const result = crash(table, "d", [BYSTANDER], HOUR_MS + 1);
+            assert.deepEqual([result.state, isQuarantined(table), table.revision], ["changed", false, index]);
         });
     });
 
-    it("lets a request run again that an operator lifts, with no crash held against it", () => {
+    it("lets a request run again after an operator lifts its quarantine, and forgets its crashes", () => {
         const table = new QuarantineTable();
         crashThree(table);
         const context = { index: ++index as LogIndex, proposedAt: 0 };
@@ -93,13 +93,13 @@
         assert.equal(table.apply({ kind: "quarantine.lift", fingerprint: SUSPECT }, context).state, "unchanged");
         crash(table, "d");
         crash(table, "e");
-        assert.equal(isHeld(table), false);
+        assert.equal(isQuarantined(table), false);
     });
 
-    it("is the same after a snapshot, and after one of before there were quarantines", () => {
+    it("restores its state from a snapshot, and from one that is older than the feature", () => {
         const table = new QuarantineTable();
         crashThree(table);
-        crash(table, "d", [BESIDE]);
+        crash(table, "d", [BYSTANDER]);
         const restored = new QuarantineTable();
         restored.restore(table.snapshot());
         assert.deepEqual(restored.snapshot(), table.snapshot());
@@ -107,7 +107,7 @@
         assert.equal(restored.isEmpty, true);
     });
 
-    it("stays bounded whatever is noted, and keeps the newest", () => {
+    it("stays bounded whatever is recorded, and keeps the newest", () => {
         const table = new QuarantineTable();
         for (let number = 0; number < 1_000; number++) {
             for (const upstream of ["a", "b", "c"]) crash(table, upstream, [`q${number}` as RequestFingerprint]);
@@ -115,6 +115,6 @@
         for (let number = 0; number < 10_000; number++) crash(table, "a", [`s${number}` as RequestFingerprint]);
         const { suspects, quarantined } = table.snapshot();
         assert.deepEqual([suspects.length, quarantined.length], [4_096, 512]);
-        assert.equal(isHeld(table, "q999" as RequestFingerprint), true);
+        assert.equal(isQuarantined(table, "q999" as RequestFingerprint), true);
     });
 });
--- a/src/quarantine/requestFingerprint/test.ts
+++ b/src/quarantine/requestFingerprint/test.ts
@@ -15,12 +15,12 @@
     return fingerprintRequest({ ...CONTENT, ...part }) !== fingerprintRequest(CONTENT);
 }
 
-describe("the fingerprint of a request", () => {
+describe("fingerprintRequest", () => {
     it("is the same for equal contents", () => {
         assert.equal(differs({ body: Buffer.from("a roast"), host: "Shop.Example" }), false);
     });
 
-    it("tells methods, hosts, paths, workspaces and bodies apart", () => {
+    it("differs for different methods, hosts, paths, workspaces and bodies", () => {
         assert.ok(differs({ method: "PUT" }));
         assert.ok(differs({ host: "shop.test" }));
         assert.ok(differs({ path: "/orders/7?x" }));
@@ -28,7 +28,7 @@
         assert.ok(differs({ body: Buffer.from("a roast.") }));
     });
 
-    it("tells apart what differs only by where one field ends and the next begins", () => {
+    it("differs for contents that differ only in the boundary between two fields", () => {
         assert.ok(differs({ path: "/orders/7butcher", workspace: "" as WorkspaceId }));
         assert.ok(differs({ path: "/orders/7\",\"butcher", workspace: undefined }));
     });
