--- a/src/zone/index.ts
+++ b/src/zone/index.ts
@@ -1,2 +1,5 @@
-/** Availability zones that an operator has evacuated: nothing is sent to their upstreams until they are restored. */
+/**
+ * Evacuation of availability zones by an operator: nothing is sent to the upstreams of an evacuated zone until it is
+ * restored.
+ */
 export * from "./zoneBook/index.js";
--- a/src/zone/zoneBook/test.ts
+++ b/src/zone/zoneBook/test.ts
@@ -9,33 +9,33 @@
 
 describe("ZoneBook", () => {
     describe("apply", () => {
-        it("evacuates a zone and restores it, each with the revision of its order", () => {
-            const book = new ZoneBook();
-            assert.deepEqual(book.apply({ kind: "zone.evacuate", zone: VOGAR }, 4), { state: "changed", revision: 4 });
-            assert.equal(book.isEvacuated(VOGAR), true);
-            assert.equal(book.isEvacuated(KEFLAVIK), false);
-            assert.deepEqual(book.apply({ kind: "zone.restore", zone: VOGAR }, 7), { state: "changed", revision: 7 });
-            assert.deepEqual(book.list(), []);
+        it("evacuates a zone and restores it, each with the revision of its command", () => {
+            const table = new ZoneBook();
+            assert.deepEqual(table.apply({ kind: "zone.evacuate", zone: VOGAR }, 4), { state: "changed", revision: 4 });
+            assert.equal(table.isEvacuated(VOGAR), true);
+            assert.equal(table.isEvacuated(KEFLAVIK), false);
+            assert.deepEqual(table.apply({ kind: "zone.restore", zone: VOGAR }, 7), { state: "changed", revision: 7 });
+            assert.deepEqual(table.list(), []);
         });
 
-        it("changes nothing when the same order comes again after a lost answer", () => {
-            const book = new ZoneBook();
-            book.apply({ kind: "zone.evacuate", zone: VOGAR }, 4);
-            const again = book.apply({ kind: "zone.evacuate", zone: VOGAR }, 5);
+        it("changes nothing when the same command is sent again after a lost answer", () => {
+            const table = new ZoneBook();
+            table.apply({ kind: "zone.evacuate", zone: VOGAR }, 4);
+            const again = table.apply({ kind: "zone.evacuate", zone: VOGAR }, 5);
             assert.deepEqual(again, { state: "unchanged", revision: 4 });
-            assert.deepEqual(book.list(), [{ zone: VOGAR, revision: 4 }]);
+            assert.deepEqual(table.list(), [{ zone: VOGAR, revision: 4 }]);
         });
 
-        it("keeps several zones, also all of them", () => {
-            const book = new ZoneBook();
-            book.apply({ kind: "zone.evacuate", zone: VOGAR }, 1);
-            book.apply({ kind: "zone.evacuate", zone: KEFLAVIK }, 2);
-            assert.deepEqual(book.list().map(({ zone }) => zone), [KEFLAVIK, VOGAR]);
+        it("evacuates several zones, even all of them", () => {
+            const table = new ZoneBook();
+            table.apply({ kind: "zone.evacuate", zone: VOGAR }, 1);
+            table.apply({ kind: "zone.evacuate", zone: KEFLAVIK }, 2);
+            assert.deepEqual(table.list().map(({ zone }) => zone), [KEFLAVIK, VOGAR]);
         });
     });
 
     describe("restore", () => {
-        it("goes on from any snapshot as the book itself does", () => {
+        it("continues from any snapshot as the original table does", () => {
             const command: fc.Arbitrary<ZoneCommand> = fc.record({
                 kind: fc.constantFrom("zone.evacuate" as const, "zone.restore" as const),
                 zone: fc.constantFrom(VOGAR, KEFLAVIK),
@@ -54,11 +54,11 @@
             }));
         });
 
-        it("knows no evacuation from a snapshot of before there were any", () => {
-            const book = new ZoneBook();
-            book.apply({ kind: "zone.evacuate", zone: VOGAR }, 4);
-            book.restore(undefined);
-            assert.deepEqual(book.snapshot(), { revision: 0, evacuated: [] });
+        it("restores no evacuation from a snapshot that is older than the feature", () => {
+            const table = new ZoneBook();
+            table.apply({ kind: "zone.evacuate", zone: VOGAR }, 4);
+            table.restore(undefined);
+            assert.deepEqual(table.snapshot(), { revision: 0, evacuated: [] });
         });
     });
 });
