--- a/src/routing/checkDocument/index.ts
+++ b/src/routing/checkDocument/index.ts
@@ -1,14 +1,14 @@
 import { Either, Left, Right } from "purify-ts";
 import { FleetDocument, fleetDocumentSchema, Route } from "../fleetDocument/index.js";
 
-/** A document that is refused as a whole. */
+/** Reason for which a document is rejected as a whole. */
 export class DocumentError extends Error {}
 
 /**
- * Judges a document: its shape, and that its parts fit together.
+ * Validates a document: its schema and the references between its parts.
  *
- * @param value - What an operator sent, as read from JSON.
- * @returns The document, or the first fault found, for people.
+ * @param value - The operator's document, parsed from JSON.
+ * @returns The document, or the first fault found with a message for the operator.
  * @example
  * checkDocument(JSON.parse(text)).ifLeft(err => console.error(err.message));
  */
@@ -24,15 +24,15 @@
 }
 
 function findRouteFault({ routes, pools }: FleetDocument): string | undefined {
-    const known = new Set(pools.map(({ pool }) => pool));
-    if (known.size < pools.length) return "a pool stands twice";
-    const places = new Set<string>();
+    const poolNames = new Set(pools.map(({ pool }) => pool));
+    if (poolNames.size < pools.length) return "a pool stands twice";
+    const matchKeys = new Set<string>();
     for (const route of routes) {
-        const place = `${route.host.toLowerCase()} ${route.pathPrefix}`;
-        if (places.has(place)) return `route ${route.name}: another route has its host and path prefix`;
-        places.add(place);
-        const unknown = route.targets.find(({ pool }) => !known.has(pool));
-        if (unknown) return `route ${route.name}: there is no pool ${unknown.pool}`;
+        const matchKey = `${route.host.toLowerCase()} ${route.pathPrefix}`;
+        if (matchKeys.has(matchKey)) return `route ${route.name}: another route has its host and path prefix`;
+        matchKeys.add(matchKey);
+        const missing = route.targets.find(({ pool }) => !poolNames.has(pool));
+        if (missing) return `route ${route.name}: there is no pool ${missing.pool}`;
         if (sumWeights(route) <= 0) return `route ${route.name}: the weights of its targets add up to 0`;
     }
     return undefined;
@@ -46,7 +46,7 @@
         names.add(workspace);
         for (const key of keys) {
             const owner = owners.get(key);
-            // The key itself stays out of the message, which ends in logs.
+            // The message must not contain the key, since it ends up in logs.
             if (owner !== undefined && owner !== workspace) return `workspaces ${owner} and ${workspace} share a key`;
             owners.set(key, workspace);
         }
--- a/src/routing/documentBook/index.ts
+++ b/src/routing/documentBook/index.ts
@@ -1,22 +1,25 @@
 import { Revision } from "../../ids/index.js";
 import { FleetDocument } from "../fleetDocument/index.js";
 
-/** Puts a document in the place of the one held, if its version is higher. */
+/** Replaces the stored document if its version is higher. */
 export interface ReplaceDocumentCommand {
     readonly kind: "document.replace";
     readonly document: FleetDocument;
-    /** What the operator sent, to be read back unchanged. */
+    /** Text as sent by the operator, to be returned unchanged. */
     readonly source: Uint8Array;
 }
 
-/** `replaced`: it is the one held now. `superseded`: one of the same or a higher version is, and stays. */
+/**
+ * Result of the command. `replaced`: the document is now the stored one. `superseded`: the stored document has the same
+ * or a higher version, and stays.
+ */
 export interface ReplaceDocumentResult {
     readonly state: "replaced" | "superseded";
-    /** The revision from which on the document held is in force. */
+    /** Revision from which on the stored document is in force. */
     readonly revision: Revision;
 }
 
-/** A document, and the revision that brought it. */
+/** A document with the revision that stored it. */
 export interface HeldDocument {
     readonly document: FleetDocument;
     readonly source: Uint8Array;
@@ -24,37 +27,37 @@
 }
 
 /**
- * The document in force, as the control log keeps it.
+ * The fleet document in force, maintained by commands of the control log.
  *
- * A version that is not higher changes nothing and is no fault: an operator sends a change again after a lost answer, perhaps when
- * a colleague's later one is in force already.
+ * A version that is not higher changes nothing and is not an error: after a lost answer an operator sends a change
+ * again, possibly when a colleague's later one is already in force.
  *
  * @example
- * const result = book.replace(command, context.index);
+ * const result = store.replace(command, context.index);
  */
 export class DocumentBook {
-    private current: HeldDocument | undefined;
+    private stored: HeldDocument | undefined;
 
     get held(): HeldDocument | undefined {
-        return this.current;
+        return this.stored;
     }
 
-    /** The revision of the document in force; 0 before the first. */
+    /** Revision of the document in force; 0 before the first. */
     get revision(): Revision {
-        return this.current?.revision ?? 0 as Revision;
+        return this.stored?.revision ?? 0 as Revision;
     }
 
     replace({ document, source }: ReplaceDocumentCommand, index: number): ReplaceDocumentResult {
-        const isHigher = this.current === undefined || document.version > this.current.document.version;
-        if (isHigher) this.current = { document, source, revision: index as Revision };
+        const isHigher = this.stored === undefined || document.version > this.stored.document.version;
+        if (isHigher) this.stored = { document, source, revision: index as Revision };
         return { state: isHigher ? "replaced" : "superseded", revision: this.revision };
     }
 
     snapshot(): HeldDocument | undefined {
-        return this.current;
+        return this.stored;
     }
 
     restore(held: HeldDocument | undefined): void {
-        this.current = held;
+        this.stored = held;
     }
 }
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,4 +1,4 @@
-/** The fleet document: routes, pools, limits and workspaces with their keys, replaced as a whole by version. */
+/** The fleet document: routes, pools, limits, and workspaces with their keys. It is replaced as a whole, by version. */
 export * from "./checkDocument/index.js";
 export * from "./documentBook/index.js";
 export * from "./fixtures/index.js";
--- a/src/routing/routeTable/index.ts
+++ b/src/routing/routeTable/index.ts
@@ -2,15 +2,15 @@
 import { Random } from "../../ports/index.js";
 import { CallerLimits, FleetDocument, PoolSpec, Route } from "../fleetDocument/index.js";
 
-/** The workspace that a key opens. */
+/** The workspace that a key belongs to. */
 export interface KeyOwner {
     readonly workspace: WorkspaceId;
-    /** Goes before the tier of the route. */
+    /** Overrides the tier of the route. */
     readonly tier: number | undefined;
 }
 
 /**
- * A document made ready for look-ups. It never changes: a new document makes a new table.
+ * Immutable index of a document for look-ups. A new document requires a new table.
  *
  * @example
  * const route = table.findRoute("shop.example", "/orders/1?x=2");
@@ -18,7 +18,7 @@
 export class RouteTable {
     readonly version: number;
     readonly limits: CallerLimits;
-    /** False: the document names no workspaces, and calls need no keys. */
+    /** Whether calls need keys; false if the document contains no workspaces. */
     readonly asksForKeys: boolean;
     private readonly routesByHost = new Map<string, Route[]>();
     private readonly owners = new Map<string, KeyOwner>();
@@ -40,18 +40,18 @@
     }
 
     /**
-     * Finds the route of a call: of the host's routes the one with the longest prefix that begins the path.
+     * Finds the route of a call: the host's route with the longest prefix that matches the path.
      *
      * @param host - The `Host` header, with or without a port.
      * @param path - Path and query, as sent.
      */
     findRoute(host: string, path: string): Route | undefined {
         const routes = this.routesByHost.get(stripPort(host).toLowerCase());
-        const bare = path.split("?", 1)[0];
-        return routes?.find(({ pathPrefix }) => bare.startsWith(pathPrefix));
+        const pathname = path.split("?", 1)[0];
+        return routes?.find(({ pathPrefix }) => pathname.startsWith(pathPrefix));
     }
 
-    /** Whose key this is; undefined when it is nobody's. */
+    /** Returns the owner of a key; undefined if the key is unknown. */
     findOwner(key: string): KeyOwner | undefined {
         return this.owners.get(key);
     }
@@ -73,7 +73,7 @@
 }
 
 /**
- * Draws the pool for a call of a route with several, by their weights.
+ * Picks a random pool for a call, by the weights of the route's targets.
  *
  * @example
  * const pool = drawTarget(route, random);
@@ -81,10 +81,10 @@
 export function drawTarget({ targets }: Route, random: Random): PoolId {
     if (targets.length === 1) return targets[0].pool;
     const sum = targets.reduce((total, { weight }) => total + weight, 0);
-    let left = random.between(0, sum);
+    let remaining = random.between(0, sum);
     for (const { pool, weight } of targets) {
-        left -= weight;
-        if (left < 0) return pool;
+        remaining -= weight;
+        if (remaining < 0) return pool;
     }
     return targets.findLast(({ weight }) => weight > 0)!.pool;
 }
--- a/src/routing/routeTable/test.ts
+++ b/src/routing/routeTable/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { SeededRandom } from "../../ports/index.js";
-import { makeRoute, readDocument } from "../fixtures/index.js";
+import { makeCheckedDocument, makeRoute } from "../fixtures/index.js";
 import { drawTarget, RouteTable } from "./index.js";
 
 describe("RouteTable", () => {
@@ -11,20 +11,20 @@
         makeRoute({ name: "paid", pathPrefix: "/orders/paid/" }),
         makeRoute({ name: "other", host: "depot.example", pathPrefix: "/x/" }),
     ];
-    const table = new RouteTable(readDocument({ routes }));
+    const table = new RouteTable(makeCheckedDocument({ routes }));
     const nameOf = (host: string, path: string) => table.findRoute(host, path)?.name;
 
-    it("takes the longest prefix that begins the path", () => {
+    it("finds the longest prefix that matches the path", () => {
         assert.equal(nameOf("shop.example", "/orders/paid/7"), "paid");
         assert.equal(nameOf("shop.example", "/orders/7?from=/orders/paid/"), "orders");
         assert.equal(nameOf("shop.example", "/orders"), "all");
     });
 
-    it("knows a host with a port and in any case", () => {
+    it("matches a host with a port and in any letter case", () => {
         assert.equal(nameOf("Depot.Example:8080", "/x/1"), "other");
     });
 
-    it("finds nothing where no route of the host fits", () => {
+    it("finds nothing if no route of the host matches", () => {
         assert.equal(nameOf("depot.example", "/y/"), undefined);
         assert.equal(nameOf("elsewhere.example", "/x/"), undefined);
     });
@@ -36,9 +36,9 @@
 });
 
 describe("drawTarget", () => {
-    it("draws by the weights, and never a weight of 0", () => {
+    it("picks by the weights, and never a weight of 0", () => {
         const targets = [{ pool: "draft", weight: 90 }, { pool: "ledger", weight: 10 }, { pool: "draft", weight: 0 }];
-        const [route] = readDocument({ routes: [makeRoute({ targets })] }).routes;
+        const [route] = makeCheckedDocument({ routes: [makeRoute({ targets })] }).routes;
         const random = new SeededRandom(7);
         const draws = Array.from({ length: 1_000 }, () => drawTarget(route, random));
         const ledger = draws.filter(pool => pool === "ledger").length;
