--- a/src/request/index.ts
+++ b/src/request/index.ts
@@ -1,3 +1,3 @@
-/** A request from its admission to its final answer, and the requests that a process knows. */
+/** Requests from their admission to their final answer, and the registry of the requests of a process. */
 export * from "./requestRegistry/index.js";
 export * from "./runningRequest/index.js";
--- a/src/request/requestRegistry/index.ts
+++ b/src/request/requestRegistry/index.ts
@@ -1,20 +1,20 @@
 import { KeyHash, RequestId } from "../../ids/index.js";
 import { CancelReason, RequestHistory, RequestIdentity, RunningRequest } from "../runningRequest/index.js";
 
-/** Whose request it is, and what happened to it. */
+/** The identity of a request and its history. */
 export interface KnownRequest {
     readonly identity: RequestIdentity;
     readonly history: RequestHistory;
 }
 
-/** How many finished requests an entry remembers for `sequoiamux explain`. */
-const FINISHED_KEPT = 2_000;
+/** Maximum number of finished requests that an entry keeps for `sequoiamux explain`. */
+const MAX_FINISHED_REQUESTS = 2_000;
 
-/** The requests of one entry: those that run, and the last that ended. */
+/** The requests of one entry: all running ones and the latest finished ones. */
 export class RequestRegistry {
     private readonly running = new Map<RequestId, RunningRequest>();
     private readonly finished = new Map<RequestId, KnownRequest>();
-    private whenIdle: (() => void)[] = [];
+    private idleWaiters: (() => void)[] = [];
 
     get size(): number {
         return this.running.size;
@@ -24,26 +24,26 @@
         this.running.set(request.identity.id, request);
     }
 
-    /** Takes a request out once its final answer has gone. */
+    /** Moves a request to the finished ones once its final answer has been sent. */
     finish(request: RunningRequest): void {
         const { id } = request.identity;
         this.running.delete(id);
         this.finished.set(id, { identity: request.identity, history: request.history });
-        if (this.finished.size > FINISHED_KEPT) this.finished.delete(this.finished.keys().next().value!);
+        if (this.finished.size > MAX_FINISHED_REQUESTS) this.finished.delete(this.finished.keys().next().value!);
         if (this.running.size > 0) return;
-        for (const wake of this.whenIdle.splice(0)) wake();
+        for (const resolve of this.idleWaiters.splice(0)) resolve();
     }
 
-    /** Stops one request, or its present attempt. */
+    /** Stops a request, or its current attempt. */
     cancel(id: RequestId, reason: CancelReason): void {
         this.running.get(id)?.cancel(reason);
     }
 
     /**
-     * Stops the requests whose key is no longer in force: a withdrawal reaches connections that are open. Routed calls are not
-     * among them: they have no hash here, and are checked again each time they are sent.
+     * Stops the requests whose key is no longer in force, so that a withdrawal also takes effect on open connections.
+     * Routed calls are not affected: they have no key hash here, and their key is checked each time they are sent.
      *
-     * @param inForce - Says whether a key is.
+     * @param inForce - Returns whether a key is in force.
      */
     cancelWithdrawn(inForce: (hash: KeyHash) => boolean): void {
         for (const request of this.running.values()) {
@@ -52,14 +52,14 @@
         }
     }
 
-    /** What is known of a request: its steps so far, or to its end. */
+    /** Returns the identity of a request and its history so far. */
     find(id: RequestId): KnownRequest | undefined {
         return this.running.get(id) ?? this.finished.get(id);
     }
 
-    /** Settles once no request runs. */
+    /** Resolves once no request is running. */
     idle(): Promise<void> {
         if (this.running.size === 0) return Promise.resolve();
-        return new Promise(resolve => this.whenIdle.push(resolve));
+        return new Promise(resolve => this.idleWaiters.push(resolve));
     }
 }
--- a/src/request/runningRequest/index.ts
+++ b/src/request/runningRequest/index.ts
@@ -2,32 +2,32 @@
 import { ClassName, HostId, KeyHash, PoolId, RequestId, UpstreamId, WorkspaceId } from "../../ids/index.js";
 import { Clock } from "../../ports/index.js";
 
-/** Something that happened to a request. */
+/** One entry of a request's history. */
 export interface RequestStep {
-    /** From the request's arrival, in milliseconds. */
+    /** Time since the request's arrival, in milliseconds. */
     readonly atMs: number;
     readonly event: string;
     readonly detail: string;
 }
 
-/** Why a running request was stopped from outside. */
+/** Reason for which a running request was stopped from outside. */
 export type CancelReason = "caller-gone" | "key-withdrawn" | "preempted" | "stalled" | "stopping" | "timeout";
 
-/** Whose request it is and what it asks for. */
+/** Identity of a request: its id, its origin and its target. */
 export interface RequestIdentity {
     readonly id: RequestId;
     readonly workspace: WorkspaceId;
-    /** Undefined for routed calls, whose keys stand in the fleet document. */
+    /** Undefined for routed calls, whose keys are part of the fleet document. */
     readonly keyHash: KeyHash | undefined;
     readonly className: ClassName;
     readonly tier: number;
     readonly pool: PoolId;
 }
 
-/** What is known of a request, for `sequoiamux explain`. */
+/** History of a request, shown by `sequoiamux explain`. */
 export interface RequestHistory {
     readonly steps: RequestStep[];
-    /** Wall time of its arrival, in milliseconds since the epoch. */
+    /** Wall-clock time of its arrival, in milliseconds since the epoch. */
     readonly arrivedAt: number;
     waitedMs: number;
     firstTokenMs?: number;
@@ -36,55 +36,55 @@
     upstream?: UpstreamId;
     /** The host that chose the upstream. */
     decidedBy?: HostId;
-    /** Why this upstream, or why it was refused. */
+    /** Reason for the choice of the upstream, or for a refusal. */
     reason: string;
 }
 
 /**
- * A request from its admission to its final answer. Owns the signal that stops it.
+ * A request from its admission to its final answer, with the signal that stops it.
  *
- * A preemption or a stall stops only the present attempt; the other reasons stop the request.
+ * A preemption or a stall stops only the current attempt; the other reasons stop the request.
  */
 export class RunningRequest {
     readonly history: RequestHistory;
-    private readonly arrivedAt: number;
-    private attempt = new AbortController();
-    private reason: CancelReason | undefined;
-    private final = false;
-    /** True once a non-repeatable call has left: from then on it runs to its recorded end. */
+    private readonly arrivedMonotonicAt: number;
+    private attemptController = new AbortController();
+    private latestCancelReason: CancelReason | undefined;
+    private isFinal = false;
+    /** Whether a non-repeatable call was sent: from then on it runs until its outcome is recorded. */
     mustFinish = false;
 
     constructor(readonly identity: RequestIdentity, private readonly clock: Clock) {
-        this.arrivedAt = clock.monotonic();
+        this.arrivedMonotonicAt = clock.monotonic();
         this.history = { steps: [], arrivedAt: clock.now(), waitedMs: 0, reason: "" };
     }
 
-    /** Aborted when the present attempt must stop. */
+    /** Aborted when the current attempt must stop. */
     get signal(): AbortSignal {
-        return this.attempt.signal;
+        return this.attemptController.signal;
     }
 
-    /** Why the request, or its present attempt, was stopped. */
+    /** Reason for which the request or its current attempt was stopped; undefined if it was not. */
     get cancelReason(): CancelReason | undefined {
-        return this.reason;
+        return this.latestCancelReason;
     }
 
-    /** True when no further attempt may be made. */
+    /** Whether no further attempt may be made. */
     get isCancelled(): boolean {
-        return this.final;
+        return this.isFinal;
     }
 
-    /** Milliseconds since the request arrived. */
+    /** Returns the time since the request's arrival, in milliseconds. */
     ageMs(): number {
-        return this.clock.monotonic() - this.arrivedAt;
+        return this.clock.monotonic() - this.arrivedMonotonicAt;
     }
 
-    /** Notes what happened. */
+    /** Appends an event to the history. */
     note(event: string, detail = ""): void {
         this.history.steps.push({ atMs: Math.round(this.ageMs()), event, detail });
     }
 
-    /** Notes that an upstream was chosen. */
+    /** Records that an upstream was chosen. */
     noteGrant({ upstream, waitedMs, reason, decidedBy }: Grant): void {
         if (this.history.upstream === undefined) this.history.waitedMs = waitedMs;
         this.history.upstream = upstream;
@@ -93,32 +93,32 @@
         this.note("granted", `${upstream} after ${Math.round(waitedMs)} ms: ${reason}`);
     }
 
-    /** Notes why the request gets no upstream. */
+    /** Records the reason for which the request gets no upstream. */
     noteRefusal(reason: string, detail: string): void {
         this.history.reason = `${reason}: ${detail}`;
         this.note("refused", this.history.reason);
     }
 
-    /** Notes the final answer. */
+    /** Records the final outcome. */
     noteEnd(outcome: string): void {
         this.history.outcome = outcome;
         this.history.totalMs = this.ageMs();
         this.note("ended", outcome);
     }
 
-    /** Stops the request, or with "preempted" and "stalled" its present attempt. */
+    /** Stops the request, or only its current attempt if the reason is "preempted" or "stalled". */
     cancel(reason: CancelReason): void {
-        if (this.final || (this.mustFinish && reason !== "stalled")) return;
-        this.reason = reason;
-        this.final = reason !== "preempted" && reason !== "stalled";
+        if (this.isFinal || (this.mustFinish && reason !== "stalled")) return;
+        this.latestCancelReason = reason;
+        this.isFinal = reason !== "preempted" && reason !== "stalled";
         this.note("stopped", reason);
-        this.attempt.abort();
+        this.attemptController.abort();
     }
 
-    /** Begins an attempt: a signal of its own, unless the request is stopped. */
+    /** Starts a new attempt with its own signal, unless the request was stopped. */
     beginAttempt(): void {
-        if (this.final) return;
-        this.reason = undefined;
-        this.attempt = new AbortController();
+        if (this.isFinal) return;
+        this.latestCancelReason = undefined;
+        this.attemptController = new AbortController();
     }
 }
