--- a/src/upstream/load/index.ts
+++ b/src/upstream/load/index.ts
@@ -255,7 +255,7 @@
     }
 
     /** Readmits it with its full share of work. */
-    restore(): void {
+    readmit(): void {
         this.isEjected = false;
         this.forgetPace();
     }
--- a/src/upstream/stragglerPolicy/index.ts
+++ b/src/upstream/stragglerPolicy/index.ts
@@ -84,7 +84,7 @@
      */
     private evaluateProbe(load: UpstreamLoad, median: number, now: number): boolean {
         if (load.tokenMs === undefined) return false;
-        if (load.tokenMs <= this.bounds.restoreFactor * median) load.restore();
+        if (load.tokenMs <= this.bounds.restoreFactor * median) load.readmit();
         else load.eject(now);
         return load.ejected;
     }
