--- a/src/routing/documentBook/test.ts
+++ b/src/routing/documentBook/test.ts
@@ -7,7 +7,7 @@
     return { kind: "document.replace", document: makeCheckedDocument({ version }), source: Buffer.from(text) };
 }
 
-describe("DocumentBook", () => {
+describe("DocumentStore", () => {
     it("keeps the highest version, in whatever order versions arrive", () => {
         // Two operators send one change each to two hosts at the same time. Whichever is committed last, the higher
         // version holds afterwards, and both commands succeed.
--- a/src/upstream/routedChoice/index.ts
+++ b/src/upstream/routedChoice/index.ts
@@ -54,7 +54,7 @@
     private readonly placement: PartsPlacement;
     private readonly prefillModel = new PrefillModel();
     private readonly pauseForecast = new PauseForecast(this.prefillModel);
-    private readonly prefillLoad = new PrefillLoad();
+    private readonly loadAverage = new PrefillLoad();
 
     /**
      * @param capacityTokens - Returns the KV cache capacity of an upstream in tokens; undefined if unknown.
@@ -95,7 +95,7 @@
         const held = this.promptCache.heldTokens(parts, upstream.id) + (fetch?.tokens ?? 0);
         const prefillWork = makePrefillWork(request, held);
         this.promptCache.recordSent(parts, upstream.id, now);
-        this.prefillLoad.add(work.prefillQueue.prefillMs(prefillWork), now);
+        this.loadAverage.add(work.prefillQueue.prefillMs(prefillWork), now);
         this.grantedRequests.set(request.request, work.begin(request, prefillWork));
     }
 
@@ -109,7 +109,7 @@
     }
 
     override readingLoad(now: number): number {
-        return this.prefillLoad.valueAt(now);
+        return this.loadAverage.valueAt(now);
     }
 
     override progressed(request: RequestId, isFirst: boolean, now: number): void {
--- a/src/upstream/routedChoice/test.ts
+++ b/src/upstream/routedChoice/test.ts
@@ -44,7 +44,7 @@
 
 const DOCUMENT_PARTS = [{ id: "recipe", tokens: 13_000 }, { id: "own", tokens: 3_000 }];
 
-describe("RoutedChoice", () => {
+describe("FirstTokenPolicy", () => {
     it("spreads a burst of long prompts, each grant counted at once", () => {
         const choice = new RoutedChoice(() => undefined);
         const loads = makeLoads(["a", "b", "c", "d"]);
--- a/src/zone/zoneBook/test.ts
+++ b/src/zone/zoneBook/test.ts
@@ -7,7 +7,7 @@
 const VOGAR = "vogar" as ZoneId;
 const KEFLAVIK = "keflavik" as ZoneId;
 
-describe("ZoneBook", () => {
+describe("EvacuationTable", () => {
     describe("apply", () => {
         it("evacuates a zone and restores it, each with the revision of its command", () => {
             const table = new ZoneBook();
