--- a/src/routing/documentBook/index.ts
+++ b/src/routing/documentBook/index.ts
@@ -57,7 +57,7 @@
         return this.stored;
     }
 
-    restore(held: HeldDocument | undefined): void {
-        this.stored = held;
+    restore(stored: HeldDocument | undefined): void {
+        this.stored = stored;
     }
 }
--- a/src/routing/fleetDocument/index.ts
+++ b/src/routing/fleetDocument/index.ts
@@ -10,6 +10,7 @@
  * is resumable; its answer consists of events that are passed on as they arrive.
  */
 export const CALL_KINDS = ["idempotent", "once", "stream"] as const;
+/** Whether and how a call may be repeated. */
 export type CallKind = typeof CALL_KINDS[number];
 
 const poolIdSchema = z.string().min(1).transform(text => text as PoolId);
@@ -126,6 +127,7 @@
     /** Undefined if calls need no keys at all. */
     workspaces: z.array(workspaceSchema).optional(),
 });
+/** A validated fleet document. */
 export type FleetDocument = z.infer<typeof fleetDocumentSchema>;
 
 /** Limits that apply if a document states none. */
--- a/src/upstream/_lib/pickLeast/index.ts
+++ b/src/upstream/_lib/pickLeast/index.ts
@@ -18,7 +18,7 @@
 export function pickLeast<Item>(
     items: readonly Item[],
     lowerBoundOf: (item: Item) => number,
-    weigh: (item: Item, floor: number) => number,
+    weigh: (item: Item, lowerBound: number) => number,
 ): Picked<Item> {
     const lowerBounds = items.map(lowerBoundOf);
     let best = indexOfMin(lowerBounds);
--- a/src/upstream/_lib/pickLeast/test.ts
+++ b/src/upstream/_lib/pickLeast/test.ts
@@ -24,7 +24,7 @@
                 const expected = all[weights.indexOf(Math.min(...weights))];
                 const picked = pickLeast<WeightedItem>(
                     all,
-                    ({ lowerBound: floor }) => floor,
+                    ({ lowerBound }) => lowerBound,
                     ({ extra }, lowerBound) => lowerBound + extra,
                 );
                 assert.equal(picked.item, expected);
--- a/src/upstream/choice/index.ts
+++ b/src/upstream/choice/index.ts
@@ -3,7 +3,7 @@
 import { UpstreamLoad } from "../load/index.js";
 import { PrefixIndex } from "../prefixIndex/index.js";
 import { PromptPart } from "../promptCache/index.js";
-import { medianTokenMs } from "../stragglerPolicy/index.js";
+import { medianTokenMs } from "../stragglers/index.js";
 
 /** Properties of a request that the selection of an upstream depends on. */
 export interface ChoiceRequest {
@@ -134,7 +134,7 @@
     }
 }
 
-/** Parameters of the time estimate of `ExpectedTimeChoice`. */
+/** Parameters of the estimate of an answer's total time. */
 export interface ExpectedTimeWeights {
     /** Prefill time per uncached prompt token, in milliseconds. */
     readonly prefillTokenMs: number;
--- a/src/upstream/index.ts
+++ b/src/upstream/index.ts
@@ -19,7 +19,7 @@
 export * from "./requestRate/index.js";
 export * from "./routedChoice/index.js";
 export * from "./routedWeights/index.js";
-export * from "./stragglerPolicy/index.js";
+export * from "./stragglers/index.js";
 export * from "./upstream/index.js";
 export * from "./upstreamRegistry/index.js";
 export * from "./upstreamWork/index.js";
--- a/src/upstream/load/index.ts
+++ b/src/upstream/load/index.ts
@@ -18,7 +18,7 @@
 
 /** Longer than the delay of any load report. */
 const HISTORY_MS = 10_000;
-const PACE_SMOOTHING = 0.2;
+const TOKEN_MS_SMOOTHING = 0.2;
 const INITIAL_FAILURE_BACKOFF_MS = 500;
 const MAX_FAILURE_BACKOFF_MS = 30_000;
 
@@ -40,7 +40,7 @@
     private foreignReport: Announcement | undefined;
     private foreignCount = 0;
     private smoothedTokenMs: number | undefined;
-    private paceSamples = 0;
+    private tokenMsSampleCount = 0;
     private consecutiveFailures = 0;
     /**
      * Monotonic times until which it backs off after a failure, and until which it is full by its own account, in
@@ -83,8 +83,8 @@
     }
 
     /** Number of observations of the time between tokens since the last reset. */
-    get paceCount(): number {
-        return this.paceSamples;
+    get tokenMsSamples(): number {
+        return this.tokenMsSampleCount;
     }
 
     /** Estimated number of requests that are running or queued there now. */
@@ -240,10 +240,10 @@
 
     /** Updates the smoothed time between tokens with one observed by a request, in milliseconds. */
     learnPace(tokenMs: number): void {
-        this.paceSamples++;
+        this.tokenMsSampleCount++;
         this.smoothedTokenMs = this.smoothedTokenMs === undefined
             ? tokenMs
-            : this.smoothedTokenMs + PACE_SMOOTHING * (tokenMs - this.smoothedTokenMs);
+            : this.smoothedTokenMs + TOKEN_MS_SMOOTHING * (tokenMs - this.smoothedTokenMs);
     }
 
     /** Ejects it as a straggler, or again after a slow probe: the interval to the next probe doubles. */
@@ -251,13 +251,13 @@
         this.failedProbes = this.isEjected ? this.failedProbes + 1 : 0;
         this.isEjected = true;
         this.probedAt = now;
-        this.forgetPace();
+        this.resetTokenMs();
     }
 
     /** Readmits it with its full share of work. */
     readmit(): void {
         this.isEjected = false;
-        this.forgetPace();
+        this.resetTokenMs();
     }
 
     private acceptsWork(now: number): boolean {
@@ -265,9 +265,9 @@
         return this.ignoresBackoff || !this.isBackingOff(now);
     }
 
-    private forgetPace(): void {
+    private resetTokenMs(): void {
         this.smoothedTokenMs = undefined;
-        this.paceSamples = 0;
+        this.tokenMsSampleCount = 0;
     }
 
     private countDueProbes(now: number): number {
--- a/src/upstream/members/index.ts
+++ b/src/upstream/members/index.ts
@@ -207,5 +207,5 @@
 }
 
 const SAMPLE_TRIES_PER_CANDIDATE = 2;
-/** Used until `useServiceTime` provides the average duration of requests, in milliseconds. */
+/** Average duration of requests that is assumed until one is set, in milliseconds. */
 const DEFAULT_MEAN_SERVICE_MS = 1_000;
--- a/src/upstream/promptCache/index.ts
+++ b/src/upstream/promptCache/index.ts
@@ -119,12 +119,12 @@
     }
 
     private moveToNewest(upstream: UpstreamId, id: string, part: HeldPart): void {
-        const holding = this.partsByUpstream.get(upstream) ?? { parts: new Map<string, HeldPart>(), tokens: 0 };
-        this.partsByUpstream.set(upstream, holding);
-        const known = holding.parts.get(id);
-        holding.tokens += part.tokens - (known?.tokens ?? 0);
-        holding.parts.delete(id);
-        holding.parts.set(id, { ...part, isPrefilled: part.isPrefilled || (known?.isPrefilled ?? false) });
+        const upstreamParts = this.partsByUpstream.get(upstream) ?? { parts: new Map<string, HeldPart>(), tokens: 0 };
+        this.partsByUpstream.set(upstream, upstreamParts);
+        const known = upstreamParts.parts.get(id);
+        upstreamParts.tokens += part.tokens - (known?.tokens ?? 0);
+        upstreamParts.parts.delete(id);
+        upstreamParts.parts.set(id, { ...part, isPrefilled: part.isPrefilled || (known?.isPrefilled ?? false) });
         if (!known) this.addHolder(id, upstream);
     }
 
@@ -141,13 +141,13 @@
     }
 
     private evict(upstream: UpstreamId): void {
-        const holding = this.partsByUpstream.get(upstream);
-        if (!holding) return;
+        const upstreamParts = this.partsByUpstream.get(upstream);
+        if (!upstreamParts) return;
         const maxTokens = CACHE_SHARE * (this.capacityTokens() ?? DEFAULT_CAPACITY_TOKENS);
-        for (const [id, { tokens }] of holding.parts) {
-            if (holding.tokens <= maxTokens) return;
-            holding.parts.delete(id);
-            holding.tokens -= tokens;
+        for (const [id, { tokens }] of upstreamParts.parts) {
+            if (upstreamParts.tokens <= maxTokens) return;
+            upstreamParts.parts.delete(id);
+            upstreamParts.tokens -= tokens;
             this.removeHolder(id, upstream);
         }
     }
--- a/src/upstream/readingLoad/index.ts
+++ b/src/upstream/readingLoad/index.ts
@@ -1,6 +1,6 @@
 /**
- * Time constant of the moving average, in milliseconds: after a burst, two thirds of it are visible within this time,
- * and new upstreams need seconds to start.
+ * Time constant of the moving average, in milliseconds: two thirds of a burst are visible after this time, and new
+ * upstreams need seconds to start.
  */
 const AVERAGING_MS = 3_000;
 
--- a/src/upstream/requestAllowance/index.ts
+++ b/src/upstream/requestAllowance/index.ts
@@ -16,7 +16,7 @@
 export class RequestAllowance {
     private limit: number | undefined;
     private lastAnswerAt = Number.NEGATIVE_INFINITY;
-    private tokens = 0;
+    private permits = 0;
     private refilledAt = 0;
 
     /** @param share - Share of the limit that this process may use, from 0 to 1. */
@@ -46,7 +46,7 @@
         this.limit = perSecond;
         this.lastAnswerAt = answeredAt;
         if (!isNew) return;
-        this.tokens = this.capacity() - sentCount;
+        this.permits = this.capacity() - sentCount;
         this.refilledAt = now;
     }
 
@@ -64,19 +64,19 @@
     available(now: number): number {
         if (this.limit === undefined) return Number.POSITIVE_INFINITY;
         this.refill(now);
-        return Math.max(0, Math.floor(this.tokens));
+        return Math.max(0, Math.floor(this.permits));
     }
 
     /** Records that a request was sent. */
     consume(now: number): void {
         if (this.limit === undefined) return;
         this.refill(now);
-        this.tokens--;
+        this.permits--;
     }
 
     private refill(now: number): void {
         const added = this.rate() * (now - this.refilledAt) / MS_PER_SECOND;
-        this.tokens = Math.min(this.capacity(), this.tokens + added);
+        this.permits = Math.min(this.capacity(), this.permits + added);
         this.refilledAt = now;
     }
 
--- a/src/upstream/routedWeights/index.ts
+++ b/src/upstream/routedWeights/index.ts
@@ -1,4 +1,4 @@
-/** Weights of the terms that `RoutedChoice` adds up, in milliseconds of a caller's wait unless stated otherwise. */
+/** Weights of the terms of the first-token estimate, in milliseconds of a caller's wait unless stated otherwise. */
 export interface FirstTokenWeights {
     /**
      * Factor on the prefill time of tokens that another upstream holds: besides the time that it takes here, the cached
--- a/src/upstream/stragglerPolicy/index.ts
+++ b/src/upstream/stragglers/index.ts
@@ -1,11 +1,11 @@
 import { UpstreamLoad } from "../load/index.js";
 
 /** Thresholds for ejecting and readmitting stragglers. */
-export interface StragglerBounds {
+export interface StragglerThresholds {
     /** Ejects a member whose time between tokens exceeds the pool's median by this factor. */
     readonly ejectFactor: number;
     /** Readmits a member whose probe shows at most this multiple of the median. */
-    readonly restoreFactor: number;
+    readonly readmitFactor: number;
     /** Maximum share of a pool that may be ejected: a slow pool is better than none. */
     readonly maxEjectedShare: number;
     /** Minimum number of observations of a member's time between tokens. */
@@ -13,9 +13,9 @@
 }
 
 /** A full batch alone cannot make a member twice as slow as the median; at most a quarter of the pool is ejected. */
-export const DEFAULT_STRAGGLER_BOUNDS: StragglerBounds = {
+export const DEFAULT_STRAGGLER_THRESHOLDS: StragglerThresholds = {
     ejectFactor: 2,
-    restoreFactor: 1.5,
+    readmitFactor: 1.5,
     maxEjectedShare: 0.25,
     minSamples: 4,
 };
@@ -26,10 +26,10 @@
  * @returns Milliseconds; undefined if no member's time between tokens is known.
  */
 export function medianTokenMs(loads: readonly UpstreamLoad[]): number | undefined {
-    const paces = loads.filter(load => load.upstream.isGrantable && !load.ejected && load.tokenMs !== undefined)
+    const sortedTokenMs = loads.filter(load => load.upstream.isGrantable && !load.ejected && load.tokenMs !== undefined)
         .map(load => load.tokenMs!)
         .sort((a, b) => a - b);
-    return paces[paces.length >> 1];
+    return sortedTokenMs[sortedTokenMs.length >> 1];
 }
 
 /** Detects slow upstreams. */
@@ -55,7 +55,7 @@
  * since it is slow and not full, and so attracts more work than its peers; its own reports never show the fault.
  */
 export class MedianStragglerPolicy extends StragglerPolicy {
-    constructor(private readonly bounds: StragglerBounds = DEFAULT_STRAGGLER_BOUNDS) {
+    constructor(private readonly bounds: StragglerThresholds = DEFAULT_STRAGGLER_THRESHOLDS) {
         super();
     }
 
@@ -74,7 +74,7 @@
     }
 
     private isSlow(load: UpstreamLoad, median: number): boolean {
-        if (load.ejected || load.tokenMs === undefined || load.paceCount < this.bounds.minSamples) return false;
+        if (load.ejected || load.tokenMs === undefined || load.tokenMsSamples < this.bounds.minSamples) return false;
         return load.tokenMs > this.bounds.ejectFactor * median;
     }
 
@@ -84,7 +84,7 @@
      */
     private evaluateProbe(load: UpstreamLoad, median: number, now: number): boolean {
         if (load.tokenMs === undefined) return false;
-        if (load.tokenMs <= this.bounds.restoreFactor * median) load.readmit();
+        if (load.tokenMs <= this.bounds.readmitFactor * median) load.readmit();
         else load.eject(now);
         return load.ejected;
     }
--- a/src/upstream/upstream/index.ts
+++ b/src/upstream/upstream/index.ts
@@ -94,12 +94,12 @@
     }
 
     /** Replaces the announcement by a newer one. */
-    update(announcement: Announcement, heardAt: number, firstHand: boolean): void {
+    update(announcement: Announcement, announcedAt: number, firstHand: boolean): void {
         if (announcement.address !== this.newest.address) {
             this.parsedAddress = parseAddress(announcement.address) ?? UNKNOWN_ADDRESS;
         }
         this.newest = announcement;
-        this.heardAt = heardAt;
+        this.heardAt = announcedAt;
         this.firstHand = firstHand;
         this.isSilent = false;
     }
--- a/src/upstream/upstreamRegistry/index.ts
+++ b/src/upstream/upstreamRegistry/index.ts
@@ -216,11 +216,11 @@
         }
     }
 
-    private accept(announcement: Announcement, heardAt: number, firstHand: boolean): boolean {
+    private accept(announcement: Announcement, announcedAt: number, firstHand: boolean): boolean {
         const id = announcement.id as UpstreamId;
         const known = this.upstreams.get(id);
         if (known && !known.isOutdatedBy(announcement)) return false;
-        const upstream = known ?? new Upstream(announcement, heardAt, firstHand);
+        const upstream = known ?? new Upstream(announcement, announcedAt, firstHand);
         // An upstream that starts to announce itself here counts as a change too: the process that received it before
         // no longer confirms it.
         const isMembershipChange = !known
@@ -228,7 +228,7 @@
             || (firstHand && !known.firstHand)
             || !isSameMembership(known.announcement, announcement);
         if (known) this.removeFromPools(known);
-        known?.update(announcement, heardAt, firstHand);
+        known?.update(announcement, announcedAt, firstHand);
         upstream.setZoneEvacuated(this.evacuatedZones.has(upstream.zone));
         this.upstreams.set(id, upstream);
         this.addToPools(upstream);
--- a/src/upstream/upstreamWork/index.ts
+++ b/src/upstream/upstreamWork/index.ts
@@ -87,7 +87,7 @@
         return true;
     }
 
-    /** See `UpstreamChoice.ended`. */
+    /** Records that a request has ended; parameters as in the selection policy. */
     ended(granted: GrantedRequest, failed: boolean | undefined, now: number, longestGapMs: number | undefined): void {
         if (this.running.delete(granted)) this.memory.remove(granted);
         if (granted.prefill) this.prefillQueue.remove(granted.prefill, now);
