--- a/src/dispatch/_lib/fixtures.ts
+++ b/src/dispatch/_lib/fixtures.ts
@@ -1,6 +1,6 @@
 import { Ticket } from "../ticket/index.js";
 
-/** A ticket of tier 0 with generous bounds, for tests; the fields that a test is about are given. */
+/** Creates a ticket of tier 0 with long time limits, for tests; `fields` overrides the defaults. */
 export function makeTicket(fields: Partial<Record<keyof Ticket, unknown>>): Ticket {
     return {
         request: "r1",
--- a/src/dispatch/_lib/heap.ts
+++ b/src/dispatch/_lib/heap.ts
@@ -1,11 +1,11 @@
-/** A binary heap from which any item can be taken out in logarithmic time. Equal items keep the order they came in. */
+/** A binary heap that removes any item in logarithmic time. Items that compare equal keep their insertion order. */
 export class Heap<Item> {
     private readonly items: Item[] = [];
-    private readonly places = new Map<Item, number>();
-    private readonly arrivals = new Map<Item, number>();
-    private nextArrival = 0;
+    private readonly indexes = new Map<Item, number>();
+    private readonly insertionNumbers = new Map<Item, number>();
+    private nextInsertion = 0;
 
-    /** @param isBefore - Whether the first comes before the second. */
+    /** @param isBefore - Whether `a` is ordered before `b`. */
     constructor(private readonly isBefore: (a: Item, b: Item) => boolean) {}
 
     get size(): number {
@@ -16,75 +16,75 @@
         return this.items[0];
     }
 
-    /** The items, in no order. */
+    /** Returns the items in no particular order. */
     values(): readonly Item[] {
         return this.items;
     }
 
     has(item: Item): boolean {
-        return this.places.has(item);
+        return this.indexes.has(item);
     }
 
     add(item: Item): void {
         this.items.push(item);
-        this.places.set(item, this.items.length - 1);
-        this.arrivals.set(item, this.nextArrival++);
+        this.indexes.set(item, this.items.length - 1);
+        this.insertionNumbers.set(item, this.nextInsertion++);
         this.moveUp(this.items.length - 1);
     }
 
-    /** Takes an item out. */
+    /** Removes an item; false when it is not in the heap. */
     remove(item: Item): boolean {
-        const place = this.places.get(item);
-        if (place === undefined) return false;
+        const index = this.indexes.get(item);
+        if (index === undefined) return false;
         const last = this.items.pop()!;
-        this.places.delete(item);
-        this.arrivals.delete(item);
+        this.indexes.delete(item);
+        this.insertionNumbers.delete(item);
         if (last === item) return true;
-        this.items[place] = last;
-        this.places.set(last, place);
+        this.items[index] = last;
+        this.indexes.set(last, index);
         this.update(last);
         return true;
     }
 
-    /** Moves an item whose place in the order has changed. */
+    /** Restores the heap order after an item's sort key has changed. */
     update(item: Item): void {
-        const place = this.places.get(item);
-        if (place === undefined) return;
-        this.moveUp(place);
-        this.moveDown(this.places.get(item)!);
+        const index = this.indexes.get(item);
+        if (index === undefined) return;
+        this.moveUp(index);
+        this.moveDown(this.indexes.get(item)!);
     }
 
     private moveUp(from: number): void {
-        let place = from;
-        while (place > 0) {
-            const parent = (place - 1) >> 1;
-            if (!this.comesBefore(this.items[place], this.items[parent])) return;
-            this.swap(place, parent);
-            place = parent;
+        let index = from;
+        while (index > 0) {
+            const parent = (index - 1) >> 1;
+            if (!this.comesBefore(this.items[index], this.items[parent])) return;
+            this.swap(index, parent);
+            index = parent;
         }
     }
 
     private moveDown(from: number): void {
-        let place = from;
+        let index = from;
         for (;;) {
-            let next = place;
-            for (const child of [2 * place + 1, 2 * place + 2]) {
+            let next = index;
+            for (const child of [2 * index + 1, 2 * index + 2]) {
                 if (child < this.items.length && this.comesBefore(this.items[child], this.items[next])) next = child;
             }
-            if (next === place) return;
-            this.swap(place, next);
-            place = next;
+            if (next === index) return;
+            this.swap(index, next);
+            index = next;
         }
     }
 
     private comesBefore(a: Item, b: Item): boolean {
         if (this.isBefore(a, b)) return true;
-        return !this.isBefore(b, a) && this.arrivals.get(a)! < this.arrivals.get(b)!;
+        return !this.isBefore(b, a) && this.insertionNumbers.get(a)! < this.insertionNumbers.get(b)!;
     }
 
     private swap(a: number, b: number): void {
         [this.items[a], this.items[b]] = [this.items[b], this.items[a]];
-        this.places.set(this.items[a], a);
-        this.places.set(this.items[b], b);
+        this.indexes.set(this.items[a], a);
+        this.indexes.set(this.items[b], b);
     }
 }
--- a/src/dispatch/_lib/makeGrant.ts
+++ b/src/dispatch/_lib/makeGrant.ts
@@ -1,8 +1,8 @@
 import { Choice } from "../../upstream/index.js";
 import { Grant } from "../ticket/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** Makes the grant of a ticket that goes to an upstream now. */
+/** Creates the grant that sends a ticket to the chosen upstream now. */
 export function makeGrant(
     { ticket, arrivedAt }: WaitingTicket,
     { load, reason, fetch }: Choice,
--- a/src/dispatch/_lib/waiters.ts
+++ b/src/dispatch/_lib/waiters.ts
@@ -1,30 +1,35 @@
 import { Either } from "purify-ts";
 import { Grant, Refusal } from "../ticket/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-interface Waiter {
+interface PendingDecision {
     readonly settle: (decision: Either<Refusal, Grant>) => void;
-    readonly stopListening: () => void;
+    readonly removeAbortListener: () => void;
 }
 
-/** Whoever waits for the decision on a ticket: each hears of it once, and is let go when its caller leaves. */
-export class Waiters {
-    private readonly waiters = new Map<WaitingTicket, Waiter>();
+/** The submitted tickets whose decision is pending. Each is settled once, and its abort listener is then removed. */
+export class PendingDecisions {
+    private readonly pending = new Map<WaitingTicket, PendingDecision>();
 
     get size(): number {
-        return this.waiters.size;
+        return this.pending.size;
     }
 
-    /** The tickets that wait, in no order; a list of its own, so that it may change meanwhile. */
-    list(): WaitingTicket[] {
-        return [...this.waiters.keys()];
+    /**
+     * Returns a copy of the pending tickets in no particular order, so that callers may settle them while iterating.
+     */
+    listTickets(): WaitingTicket[] {
+        return [...this.pending.keys()];
     }
 
     has(waiting: WaitingTicket): boolean {
-        return this.waiters.has(waiting);
+        return this.pending.has(waiting);
     }
 
-    /** @param onAbort - Told when the caller leaves while the ticket waits. */
+    /**
+     * @param settle - Called with the decision.
+     * @param onAbort - Called when the caller disconnects while the ticket is pending.
+     */
     add(
         waiting: WaitingTicket,
         settle: (decision: Either<Refusal, Grant>) => void,
@@ -32,17 +37,17 @@
         onAbort: () => void,
     ): void {
         signal.addEventListener("abort", onAbort, { once: true });
-        const stopListening = (): void => signal.removeEventListener("abort", onAbort);
-        this.waiters.set(waiting, { settle, stopListening });
+        const removeAbortListener = (): void => signal.removeEventListener("abort", onAbort);
+        this.pending.set(waiting, { settle, removeAbortListener });
     }
 
-    /** Tells the decision to whoever waits for it. False when nobody does any more. */
+    /** Settles a ticket with its decision; false when it is no longer pending. */
     settle(waiting: WaitingTicket, decision: Either<Refusal, Grant>): boolean {
-        const waiter = this.waiters.get(waiting);
-        if (!waiter) return false;
-        this.waiters.delete(waiting);
-        waiter.stopListening();
-        waiter.settle(decision);
+        const entry = this.pending.get(waiting);
+        if (!entry) return false;
+        this.pending.delete(waiting);
+        entry.removeAbortListener();
+        entry.settle(decision);
         return true;
     }
 }
--- a/src/dispatch/admissionControl/index.ts
+++ b/src/dispatch/admissionControl/index.ts
@@ -1,96 +1,102 @@
 import { Clock } from "../../ports/index.js";
 import { PoolMembers } from "../../upstream/index.js";
-import { AdmissionPolicy } from "../admission/index.js";
+import { AdmissionPolicy } from "../admissionPolicy/index.js";
 import { OrderPolicy } from "../order/index.js";
-import { PoolOutlook } from "../outlook/index.js";
+import { PoolForecast } from "../outlook/index.js";
 import { Preempter } from "../preempter/index.js";
 import { Refusal, RefusalReason } from "../ticket/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** What admission to one pool rests on. */
+/** Options of `AdmissionControl`. */
 export interface AdmissionControlOptions {
     readonly clock: Clock;
     readonly members: PoolMembers;
     readonly order: OrderPolicy;
-    readonly outlook: PoolOutlook;
+    readonly forecast: PoolForecast;
     readonly policy: AdmissionPolicy;
     readonly preempter: Preempter;
-    /** Monotonic time since when upstreams could have been heard of, in milliseconds. */
+    /** Monotonic time from which upstreams could be discovered, in milliseconds. */
     readonly startedAt: number;
 }
 
-/** A pool without upstreams lets requests wait for this long, since upstreams announce twice a second. */
-const EMPTY_GRACE_MS = 2_000;
-/** How long after a takeover waits are not predicted. */
-const SETTLE_MS = 600;
-/** How soon a preempted request gives its slot, in milliseconds. */
-const PREEMPTION_MS = 50;
-const RETRY_LEAST_MS = 100;
-const RETRY_MOST_MS = 60_000;
+/** How long requests may wait in a pool without upstreams, in milliseconds; upstreams announce twice a second. */
+const EMPTY_POOL_GRACE_MS = 2_000;
+/** How long waits are not predicted after a takeover, in milliseconds. */
+const TAKEOVER_SETTLE_MS = 600;
+/** Time for a preempted request to free its slot, in milliseconds. */
+const PREEMPTION_WAIT_MS = 50;
+const MIN_RETRY_AFTER_MS = 100;
+const MAX_RETRY_AFTER_MS = 60_000;
 
-/** Judges new and waiting tickets of one pool. */
+/** Decides whether new tickets of one pool may wait, and whether waiting ones may keep waiting. */
 export class AdmissionControl {
-    private lastUsableAt: number;
-    /** Monotonic time until when waits are not predicted, in milliseconds. */
-    private settledAt = 0;
+    private lastReadyAt: number;
+    /** Monotonic time from which waits are predicted, in milliseconds. */
+    private predictsFrom = 0;
 
     constructor(private readonly options: AdmissionControlOptions) {
-        this.lastUsableAt = options.startedAt;
+        this.lastReadyAt = options.startedAt;
     }
 
-    /** Takes note that upstreams may have come or gone. */
-    noteMembers(): void {
-        if (this.options.members.hasReady()) this.lastUsableAt = this.options.clock.monotonic();
+    /** Updates the time at which the pool last had a ready upstream. Called when its members may have changed. */
+    recordMembers(): void {
+        if (this.options.members.hasReady()) this.lastReadyAt = this.options.clock.monotonic();
     }
 
     /**
-     * Takes note that the queue takes over from an owner before.
+     * Suspends wait predictions after this process has taken over the queue from another owner.
      *
-     * Guards against requests refused for nothing: until every entry has told what of its own runs, full engines seem to be
-     * others' for good, and the wait is predicted many times too long. An entry tells within 200 ms of learning who owns
-     * the queue.
+     * Prevents refusals without reason: until every entry has reported its running requests, full upstreams seem to be
+     * occupied permanently by others, and the predicted wait is many times too long. An entry reports within 200 ms of
+     * learning the new owner.
      */
-    noteTakeover(): void {
-        this.settledAt = Math.max(this.settledAt, this.options.clock.monotonic() + SETTLE_MS);
+    recordTakeover(): void {
+        this.predictsFrom = Math.max(this.predictsFrom, this.options.clock.monotonic() + TAKEOVER_SETTLE_MS);
     }
 
-    /** Why a new ticket is refused; undefined when it may wait. */
-    judgeNew(waiting: WaitingTicket): Refusal | undefined {
+    /** Returns the refusal of a new ticket; undefined when it may wait. */
+    checkNew(waiting: WaitingTicket): Refusal | undefined {
         const { members, clock } = this.options;
-        if (members.usableSlots > 0) return this.judgeWait(waiting, this.predictWait(waiting), "over-capacity");
-        // A new owner has heard of the upstreams, but not yet that their load is its own: they are full, not gone.
+        if (members.usableSlots > 0) return this.checkWait(waiting, this.predictWait(waiting), "over-capacity");
+        // A new owner has discovered the upstreams but does not yet count their load as its own: they are full, not
+        // gone.
         if (members.hasReady()) return undefined;
-        if (clock.monotonic() - this.lastUsableAt < EMPTY_GRACE_MS) return undefined;
-        return makeRefusal(waiting, "no-upstream", EMPTY_GRACE_MS, "no upstream of the pool is ready");
+        if (clock.monotonic() - this.lastReadyAt < EMPTY_POOL_GRACE_MS) return undefined;
+        return makeRefusal(waiting, "no-upstream", EMPTY_POOL_GRACE_MS, "no upstream of the pool is ready");
     }
 
-    /** Why a ticket is refused that would wait for so many milliseconds from now on; undefined when it may. */
-    judgeWait(waiting: WaitingTicket, waitMs: number, reason: RefusalReason): Refusal | undefined {
-        const { policy, outlook, clock } = this.options;
-        if (clock.monotonic() < this.settledAt) return undefined;
-        const context = { now: clock.monotonic(), waitMs, firstTokenMs: outlook.firstTokenMs };
+    /**
+     * Returns the refusal of a ticket with a predicted wait; undefined when it may keep waiting.
+     *
+     * @param waitMs - The predicted wait from now on, in milliseconds.
+     * @param reason - The reason given with a refusal.
+     */
+    checkWait(waiting: WaitingTicket, waitMs: number, reason: RefusalReason): Refusal | undefined {
+        const { policy, forecast, clock } = this.options;
+        if (clock.monotonic() < this.predictsFrom) return undefined;
+        const context = { now: clock.monotonic(), waitMs, firstTokenMs: forecast.firstTokenP90Ms };
         const lateMs = policy.expectedLatenessMs(waiting, context);
         if (lateMs <= 0) return undefined;
         return makeRefusal(waiting, reason, lateMs, `predicted wait ${Math.round(waitMs)} ms`);
     }
 
     private predictWait(waiting: WaitingTicket): number {
-        const { members, clock, order, outlook, preempter } = this.options;
+        const { members, clock, order, forecast, preempter } = this.options;
         const costAhead = order.costAhead(waiting);
         if (members.freeSlots > 0 && costAhead === 0) return 0;
-        if (preempter.canServe(waiting, costAhead)) return PREEMPTION_MS;
+        if (preempter.canPreemptFor(waiting, costAhead)) return PREEMPTION_WAIT_MS;
         const slots = members.usableSlots;
         const { tier } = waiting.ticket;
-        return outlook.releaseMs(slots) + outlook.predictWaitMs(tier, costAhead, slots, clock.monotonic());
+        return forecast.slotReleaseMs(slots) + forecast.predictWaitMs(tier, costAhead, slots, clock.monotonic());
     }
 }
 
 /**
- * Makes a refusal with a time to come back.
+ * Creates a refusal with a retry delay.
  *
- * @param retryMs - When the pool will probably have room, in milliseconds; kept within bounds.
+ * @param retryMs - Predicted time until the pool has room, in milliseconds; limited to the allowed range.
  */
 export function makeRefusal(waiting: WaitingTicket, reason: RefusalReason, retryMs: number, detail: string): Refusal {
-    const retryAfterMs = Math.round(Math.min(RETRY_MOST_MS, Math.max(RETRY_LEAST_MS, retryMs)));
+    const retryAfterMs = Math.round(Math.min(MAX_RETRY_AFTER_MS, Math.max(MIN_RETRY_AFTER_MS, retryMs)));
     return { request: waiting.ticket.request, reason, retryAfterMs, detail };
 }
--- a/src/dispatch/arrivals/index.ts
+++ b/src/dispatch/arrivals/index.ts
@@ -1,36 +1,36 @@
-/** The work that each tier brings, averaged over a time. */
+/** The rate at which each tier brings work, as an exponentially decaying average. */
 export class ArrivalRates {
     private readonly rates: number[] = [];
     private startedAt: number | undefined;
-    private fadedAt = 0;
+    private decayedAt = 0;
 
-    /** @param memoryMs - Over how long it averages, in milliseconds. */
-    constructor(private readonly memoryMs: number) {}
+    /** @param timeConstantMs - The time constant of the average, in milliseconds. */
+    constructor(private readonly timeConstantMs: number) {}
 
-    /** Counts work of a tier. */
+    /** Adds the cost of a new ticket, in tokens. */
     add(tier: number, cost: number, now: number): void {
-        this.fade(now);
+        this.decay(now);
         while (this.rates.length <= tier) this.rates.push(0);
-        this.rates[tier] += cost / this.memoryMs;
+        this.rates[tier] += cost / this.timeConstantMs;
     }
 
     /**
-     * What the tiers above one bring.
+     * Returns the rate at which all tiers above the given one bring work.
      *
-     * @returns Tokens of cost in a millisecond.
+     * @returns Tokens of cost per millisecond.
      */
-    above(tier: number, now: number): number {
-        this.fade(now);
+    rateAbove(tier: number, now: number): number {
+        this.decay(now);
         let sum = 0;
         for (let higher = 0; higher < tier && higher < this.rates.length; higher++) sum += this.rates[higher];
-        const seen = 1 - Math.exp((this.startedAt! - now) / this.memoryMs);
-        return seen > 0 ? sum / seen : sum;
+        const coverage = 1 - Math.exp((this.startedAt! - now) / this.timeConstantMs);
+        return coverage > 0 ? sum / coverage : sum;
     }
 
-    private fade(now: number): void {
+    private decay(now: number): void {
         this.startedAt ??= now;
-        const kept = Math.exp((this.fadedAt - now) / this.memoryMs);
-        this.fadedAt = now;
-        for (let tier = 0; tier < this.rates.length; tier++) this.rates[tier] *= kept;
+        const factor = Math.exp((this.decayedAt - now) / this.timeConstantMs);
+        this.decayedAt = now;
+        for (let tier = 0; tier < this.rates.length; tier++) this.rates[tier] *= factor;
     }
 }
--- a/src/dispatch/budget/test.ts
+++ b/src/dispatch/attemptBudget/test.ts
@@ -4,15 +4,15 @@
 import { AttemptBudget, DEFAULT_RETRY_LIMITS } from "./index.js";
 
 describe("AttemptBudget", () => {
-    it("refuses each retry of what may not be repeated", () => {
+    it("refuses retries of requests that must not be repeated", () => {
         const budget = new AttemptBudget(new VirtualClock(), DEFAULT_RETRY_LIMITS);
         assert.ok(!budget.tryTake(false));
     });
 
     describe("a pool whose requests all fail at twice its load", () => {
-        // Callers see a pool stay down long after the burst that overloaded it: each request that timed out is sent again,
-        // so the load stays at twice what the pool can do although the callers ask for less.
-        it("gets a tenth more attempts at the most", async () => {
+        // Retry storm: each request that timed out is sent again, so that a pool stays at twice its capacity long after
+        // the burst that overloaded it, although callers ask for less.
+        it("gets at most 10% more attempts", async () => {
             const clock = new VirtualClock();
             const budget = new AttemptBudget(clock, DEFAULT_RETRY_LIMITS);
             let retries = 0;
@@ -27,7 +27,7 @@
         });
     });
 
-    it("lets a quiet entry retry", async () => {
+    it("lets an entry with few requests retry", async () => {
         const clock = new VirtualClock();
         const budget = new AttemptBudget(clock, { ratio: 0.1, perSecond: 0.5, capacity: 1 });
         assert.ok(budget.tryTake(true));
--- a/src/dispatch/observer/index.ts
+++ b/src/dispatch/dispatchObserver/index.ts
@@ -1,8 +1,8 @@
 import { UpstreamId } from "../../ids/index.js";
 import { Grant, Refusal } from "../ticket/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** Told of each decision, for metrics, `sequoiamux explain` and the bench. All methods do nothing by default. */
+/** Receives each decision, for metrics, `sequoiamux explain` and the benchmarks. All methods do nothing by default. */
 export abstract class DispatchObserver {
     queued(_waiting: WaitingTicket): void {}
 
@@ -10,11 +10,11 @@
 
     refused(_waiting: WaitingTicket, _refusal: Refusal): void {}
 
-    /** A running request was asked to give its place to a waiting one. */
+    /** Called when a running request is asked to give up its slot to a waiting one. */
     preempted(_victim: WaitingTicket, _beneficiary: WaitingTicket): void {}
 
     ejected(_upstream: UpstreamId): void {}
 }
 
-/** Listens to nothing. */
+/** An observer that does nothing. */
 export class NoDispatchObserver extends DispatchObserver {}
--- a/src/dispatch/policies/index.ts
+++ b/src/dispatch/dispatchPolicies/index.ts
@@ -9,39 +9,39 @@
     StragglerPolicy,
     UpstreamChoice,
 } from "../../upstream/index.js";
-import { AcceptAllAdmission, AdmissionPolicy, LastMomentAdmission } from "../admission/index.js";
+import { AcceptAllAdmission, AdmissionPolicy, DeadlineAdmission } from "../admissionPolicy/index.js";
 import { FifoOrder, OrderPolicy, TierFairOrder } from "../order/index.js";
-import { NoPreemption, PreemptionPolicy, TierPreemption } from "../preemption/index.js";
+import { NoPreemption, PreemptionPolicy, TierPreemption } from "../preemptionPolicy/index.js";
 
-/** What a policy may draw on when it is made for a pool. */
-export interface PolicyParts {
+/** Dependencies of an upstream choice policy, for one pool. */
+export interface ChoiceDependencies {
     readonly random: Random;
     readonly prefixes: PrefixIndex;
-    /** How many tokens the memory of the pool's upstreams takes, where that is known. */
+    /** The KV cache capacity of the pool's upstreams, in tokens; undefined where it is unknown. */
     readonly capacity: () => number | undefined;
 }
 
-/** Makes the policies of a pool. */
+/** Factories of the policies of a pool. */
 export interface DispatchPolicies {
     readonly createOrder: () => OrderPolicy;
     readonly createAdmission: () => AdmissionPolicy;
     readonly createPreemption: () => PreemptionPolicy;
     readonly createStragglers: () => StragglerPolicy;
-    readonly createChoice: (parts: PolicyParts) => UpstreamChoice;
+    readonly createChoice: (dependencies: ChoiceDependencies) => UpstreamChoice;
 }
 
-/** What runs in production. */
+/** The default policies of production. */
 export const DEFAULT_POLICIES: DispatchPolicies = {
     createOrder: () => new TierFairOrder(),
-    createAdmission: () => new LastMomentAdmission(),
+    createAdmission: () => new DeadlineAdmission(),
     createPreemption: () => new TierPreemption(),
     createStragglers: () => new MedianStragglerPolicy(),
-    createChoice: parts => new ExpectedTimeChoice(parts.prefixes),
+    createChoice: dependencies => new ExpectedTimeChoice(dependencies.prefixes),
 };
 
 /**
- * What runs where calls are routed by the fleet document. Engines of such pools queue and preempt by priority themselves, and a late
- * answer is still worth something: nothing is shed for a target that is missed, only for a wait that is over.
+ * The policies of pools whose calls are routed by the fleet document. Their engines queue and preempt by priority
+ * themselves, and a late answer still has value: no request is shed for a missed target, only for an expired wait.
  */
 export const ROUTED_POLICIES: DispatchPolicies = {
     createOrder: () => new TierFairOrder(),
@@ -51,7 +51,7 @@
     createChoice: ({ capacity }) => new RoutedChoice(capacity),
 };
 
-/** The simplest of each, to measure the others against. */
+/** The simplest policy of each kind, as a baseline for comparisons. */
 export const BASELINE_POLICIES: DispatchPolicies = {
     createOrder: () => new FifoOrder(),
     createAdmission: () => new AcceptAllAdmission(),
--- a/src/dispatch/index.ts
+++ b/src/dispatch/index.ts
@@ -1,15 +1,15 @@
-/** The queue of each pool: order, admission, fair shares, shedding, grants. */
-export * from "./admission/index.js";
-export * from "./budget/index.js";
+/** The queue of each pool: order, admission, fair shares, shedding and grants. */
+export * from "./admissionPolicy/index.js";
+export * from "./attemptBudget/index.js";
 export * from "./dispatcher/index.js";
-export * from "./lengths/index.js";
+export * from "./dispatchObserver/index.js";
+export * from "./dispatchPolicies/index.js";
+export * from "./lengthEstimator/index.js";
 export * from "./localDispatcher/index.js";
-export * from "./observer/index.js";
 export * from "./order/index.js";
-export * from "./policies/index.js";
-export * from "./poolOwner/index.js";
+export * from "./poolOwnerTable/index.js";
 export * from "./poolQueue/index.js";
-export * from "./preemption/index.js";
-export * from "./spending/index.js";
+export * from "./preemptionPolicy/index.js";
+export * from "./spendingAllotments/index.js";
 export * from "./ticket/index.js";
-export * from "./waiting/index.js";
+export * from "./waitingTicket/index.js";
--- a/src/dispatch/invariants/test.ts
+++ b/src/dispatch/invariants/test.ts
@@ -46,18 +46,18 @@
     },
 );
 
-/** Plays steps against a dispatcher and checks each decision as it falls. */
-class Model extends DispatchObserver {
+/** Applies steps to a dispatcher and records each decision that violates an invariant. */
+class DispatchModel extends DispatchObserver {
     readonly clock = new VirtualClock();
     readonly registry = new UpstreamRegistry({ clock: this.clock });
     readonly dispatcher: LocalDispatcher;
-    readonly faults: string[] = [];
+    readonly errors: string[] = [];
     submitted = 0;
     settled = 0;
     private readonly waiting = new Map<RequestId, WaitingTicket>();
     private readonly running = new Map<RequestId, { ticket: Ticket; upstream: UpstreamId; }>();
-    private readonly aborts = new Map<RequestId, AbortController>();
-    private readonly left = new Set<string>();
+    private readonly abortControllers = new Map<RequestId, AbortController>();
+    private readonly leavingUpstreams = new Set<string>();
     private sequence = 0;
 
     constructor(random: number) {
@@ -82,44 +82,44 @@
         const { ticket } = granted;
         this.waiting.delete(ticket.request);
         for (const other of this.waiting.values()) {
-            if (other.ticket.tier < ticket.tier) this.faults.push(`tier ${ticket.tier} before ${other.ticket.tier}`);
+            if (other.ticket.tier < ticket.tier) this.errors.push(`tier ${ticket.tier} before ${other.ticket.tier}`);
         }
-        if (this.left.has(grant.upstream)) this.faults.push(`grant to the leaver ${grant.upstream}`);
+        if (this.leavingUpstreams.has(grant.upstream)) this.errors.push(`grant to the leaver ${grant.upstream}`);
         this.running.set(ticket.request, { ticket, upstream: grant.upstream });
-        const there = [...this.running.values()].filter(({ upstream }) => upstream === grant.upstream);
-        if (there.length > SLOTS) this.faults.push(`${there.length} requests in ${SLOTS} slots`);
+        const onUpstream = [...this.running.values()].filter(({ upstream }) => upstream === grant.upstream);
+        if (onUpstream.length > SLOTS) this.errors.push(`${onUpstream.length} requests in ${SLOTS} slots`);
     }
 
     override refused(waiting: WaitingTicket, refusal: Refusal): void {
         this.waiting.delete(waiting.ticket.request);
-        if (refusal.retryAfterMs <= 0) this.faults.push("no time to come back");
+        if (refusal.retryAfterMs <= 0) this.errors.push("no time to come back");
     }
 
     override preempted(victim: WaitingTicket, beneficiary: WaitingTicket): void {
         if (victim.ticket.tier > beneficiary.ticket.tier) return;
-        this.faults.push(`tier ${victim.ticket.tier} preempted for ${beneficiary.ticket.tier}`);
+        this.errors.push(`tier ${victim.ticket.tier} preempted for ${beneficiary.ticket.tier}`);
     }
 
-    async play(step: Step): Promise<void> {
+    async applyStep(step: Step): Promise<void> {
         if (step.kind === "submit") this.submit(step);
         else if (step.kind === "complete") this.complete(pickKey(this.running, step.which), step.outcome);
-        else if (step.kind === "cancel") this.aborts.get(pickKey(this.waiting, step.which)!)?.abort();
+        else if (step.kind === "cancel") this.abortControllers.get(pickKey(this.waiting, step.which)!)?.abort();
         else if (step.kind === "leave") this.leave(step.which);
         else await this.advance(step.ms);
         await this.clock.advance(0);
-        this.checkBounds();
+        this.checkWaitBounds();
     }
 
-    /** Lets all bounds pass, so that each ticket is settled. */
+    /** Advances past all wait limits, so that each ticket is settled. */
     async finish(): Promise<void> {
         await this.advance(40_000);
-        this.checkBounds();
-        if (this.settled !== this.submitted) this.faults.push(`${this.submitted - this.settled} never settled`);
+        this.checkWaitBounds();
+        if (this.settled !== this.submitted) this.errors.push(`${this.submitted - this.settled} never settled`);
         for (const request of [...this.running.keys()]) this.complete(request, "answered");
         await this.clock.advance(1);
         const { dispatcher } = this;
         if (dispatcher.countWaiting(POOL) + dispatcher.countRunning(POOL) > 0) {
-            this.faults.push("something is left over");
+            this.errors.push("something is left over");
         }
         dispatcher.close();
     }
@@ -127,7 +127,7 @@
     private submit(step: Extract<Step, { kind: "submit"; }>): void {
         const request = `r${this.submitted++}` as RequestId;
         const abort = new AbortController();
-        this.aborts.set(request, abort);
+        this.abortControllers.set(request, abort);
         const { tier, patience } = step;
         const workspace = `w${step.workspace}`;
         const bounds = { firstTokenMs: patience, maxWaitMs: patience };
@@ -146,7 +146,7 @@
     private leave(which: number): void {
         const id = UPSTREAMS[which];
         if (id === undefined) return;
-        this.left.add(id);
+        this.leavingUpstreams.add(id);
         this.announceAll();
     }
 
@@ -161,15 +161,15 @@
         this.sequence++;
         for (const id of UPSTREAMS) {
             const load = { running: 0, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
-            const state = this.left.has(id) ? "leaving" : "ready";
+            const state = this.leavingUpstreams.has(id) ? "leaving" : "ready";
             this.registry.announce(makeAnnouncement({ id, state, sequence: this.sequence, slots: SLOTS, load }));
         }
     }
 
-    private checkBounds(): void {
+    private checkWaitBounds(): void {
         for (const { expiresAt, ticket } of this.waiting.values()) {
             if (this.clock.monotonic() > expiresAt + TICK_MS) {
-                this.faults.push(`${ticket.request} waits past its bound`);
+                this.errors.push(`${ticket.request} waits past its bound`);
             }
         }
     }
@@ -179,15 +179,15 @@
     return map.size === 0 ? undefined : [...map.keys()][which % map.size];
 }
 
-describe("the decisions, whatever happens", () => {
-    it("keep tiers, bounds, slots and sums, and send nothing to leavers", async () => {
+describe("dispatch decisions under random events", () => {
+    it("respect tiers, wait limits and slots, and grant nothing on leaving upstreams", async () => {
         const steps = fc.array(stepArbitrary, { minLength: 20, maxLength: 80 });
         await fc.assert(
             fc.asyncProperty(steps, fc.nat(1_000), async (sequence, random) => {
-                const model = new Model(random);
-                for (const step of sequence) await model.play(step);
+                const model = new DispatchModel(random);
+                for (const step of sequence) await model.applyStep(step);
                 await model.finish();
-                assert.deepEqual(model.faults, []);
+                assert.deepEqual(model.errors, []);
             }),
             RUNS,
         );
--- a/src/dispatch/localDispatcher/index.ts
+++ b/src/dispatch/localDispatcher/index.ts
@@ -3,36 +3,42 @@
 import { Clock, Random, Timer } from "../../ports/index.js";
 import { PoolMembers, PrefixIndex, PromptPart, Upstream, UpstreamRegistry } from "../../upstream/index.js";
 import { Dispatcher } from "../dispatcher/index.js";
-import { LengthEstimator } from "../lengths/index.js";
-import { DispatchObserver, NoDispatchObserver } from "../observer/index.js";
-import { DEFAULT_POLICIES, DispatchPolicies } from "../policies/index.js";
+import { DispatchObserver, NoDispatchObserver } from "../dispatchObserver/index.js";
+import { DEFAULT_POLICIES, DispatchPolicies } from "../dispatchPolicies/index.js";
+import { LengthEstimator } from "../lengthEstimator/index.js";
 import { PoolQueue } from "../poolQueue/index.js";
 import { Completion, Grant, Refusal, Ticket } from "../ticket/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** What a local dispatcher works with. */
+/** Options of `LocalDispatcher`. */
 export interface LocalDispatcherOptions {
     readonly clock: Clock;
     readonly random: Random;
     readonly registry: UpstreamRegistry;
-    /** Where this process runs. */
+    /** The zone that this process runs in. */
     readonly zone: ZoneId;
     readonly policies?: DispatchPolicies;
     readonly observer?: DispatchObserver;
-    /** How many tokens the memory of a pool's upstreams takes, where that is known. */
+    /** The KV cache capacity of a pool's upstreams, in tokens; undefined where it is unknown. */
     readonly capacityOf?: (pool: PoolId) => number | undefined;
-    /** How many requests a second this process may send to an upstream of a pool while it is cold; undefined: as many as it likes. */
+    /**
+     * Maximum number of requests per second that this process may send to a cold upstream of a pool; undefined for no
+     * limit.
+     */
     readonly coldRateOf?: (pool: PoolId) => number;
-    /** The part of a limit that an upstream names which is this process's to use, from 0 to 1; undefined: all of it. */
+    /**
+     * The share of an upstream's stated request rate limit that this process may use, from 0 to 1; undefined for all of
+     * it.
+     */
     readonly limitShareOf?: (pool: PoolId) => number;
 }
 
-/** How often waiting tickets are looked at again, in milliseconds. */
+/** Interval between reviews of the queues, in milliseconds. */
 const TICK_MS = 25;
 
 /**
- * The queues of all pools that one process owns. Knows no network: tickets of other entries are submitted here by
- * whoever receives them.
+ * The queues of all pools that one process owns. It does no networking: whoever receives tickets from other entries
+ * submits them here.
  *
  * @example
  * const dispatcher = new LocalDispatcher({ clock, random, registry, zone });
@@ -53,11 +59,12 @@
     constructor(private readonly options: LocalDispatcherOptions) {
         super();
         this.startedAt = options.clock.monotonic();
-        options.registry.onChange(upstream => this.takeChange(upstream));
+        options.registry.onChange(upstream => this.applyUpstreamChange(upstream));
     }
 
     async submit(ticket: Ticket, signal: AbortSignal): Promise<Either<Refusal, Grant>> {
-        // While all queues are idle nothing looks for silent upstreams, and the first grant would go to a dead one.
+        // While all queues are idle no timer expires unresponsive upstreams, and the first grant could go to a dead
+        // one.
         if (!this.timer) this.options.registry.expire();
         const queue = this.queueOf(ticket.pool);
         const decision = queue.submit(ticket, signal);
@@ -79,7 +86,7 @@
     }
 
     noteLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs = 0): void {
-        this.queues.get(pool)?.noteLimit(upstream, perSecond, ageMs);
+        this.queues.get(pool)?.recordLimit(upstream, perSecond, ageMs);
     }
 
     onPreempt(listener: (request: RequestId) => void): void {
@@ -87,10 +94,10 @@
     }
 
     /**
-     * Counts a request that was granted by another process, which owned the pool's queue before. The entries that send
-     * the requests tell the new owner, whose view of load would else be a report too old.
+     * Counts a request granted by the previous owner of the pool's queue. The entries that send the requests report
+     * them to the new owner, whose view of the load would otherwise be one load report out of date.
      *
-     * @param runningMs - How long ago it was granted, in milliseconds.
+     * @param runningMs - Time since it was granted, in milliseconds.
      */
     adopt(ticket: Ticket, grant: Grant, runningMs: number): void {
         this.poolOfRequest.set(ticket.request, ticket.pool);
@@ -98,49 +105,52 @@
         this.armTimer();
     }
 
-    /** The tickets that wait in all queues, in no order. */
+    /** Returns the waiting tickets of all queues in no particular order. */
     listWaiting(): WaitingTicket[] {
         return [...this.queues.values()].flatMap(queue => queue.listWaiting());
     }
 
-    /** The granted requests of a pool that have not been completed, in no order. */
+    /** Returns the granted requests of a pool that have not been completed, in no particular order. */
     listRunning(pool: PoolId): WaitingTicket[] {
         return this.queues.get(pool)?.listRunning() ?? [];
     }
 
-    /** The pools for which there was a ticket here. */
+    /** Returns the pools that have had a ticket in this process. */
     pools(): readonly PoolId[] {
         return [...this.queues.keys()];
     }
 
-    /** Frees what an entry that is lost had been granted, and drops its waiting tickets. */
+    /** Frees the slots granted to a lost entry, and drops its waiting tickets. */
     forgetEntry(host: HostId): void {
         for (const queue of this.queues.values()) {
             for (const request of queue.forgetEntry(host)) this.poolOfRequest.delete(request);
         }
     }
 
-    /** How many tickets wait in a pool's queue. */
+    /** Returns the number of tickets that wait in a pool's queue. */
     countWaiting(pool: PoolId): number {
         return this.queues.get(pool)?.waitingCount ?? 0;
     }
 
-    /** How many granted requests of a pool have not been completed. */
+    /** Returns the number of granted requests of a pool that have not been completed. */
     countRunning(pool: PoolId): number {
         return this.queues.get(pool)?.runningCount ?? 0;
     }
 
-    /** How many upstreams' time a pool's prompts take to read; undefined where that is not followed. */
+    /**
+     * Returns the number of upstreams kept busy by the prefill of a pool's prompts; undefined where that is not
+     * tracked.
+     */
     readingLoad(pool: PoolId): number | undefined {
-        return this.queues.get(pool)?.readingLoad();
+        return this.queues.get(pool)?.prefillLoad();
     }
 
-    /** Takes note of the parts of prompts that an upstream says it holds. */
+    /** Records parts of prompts that an upstream reports to have cached. */
     learnHeld(pool: PoolId, upstream: UpstreamId, parts: readonly PromptPart[]): void {
-        this.queueOf(pool).learnHeld(upstream, parts);
+        this.queueOf(pool).recordHeldParts(upstream, parts);
     }
 
-    /** Refuses all waiting tickets with "draining", so that their entries send them to the next owner. */
+    /** Refuses all waiting tickets with "draining", so that their entries submit them to the next owner. */
     drain(): void {
         for (const queue of this.queues.values()) queue.drain();
     }
@@ -154,8 +164,8 @@
     }
 
     private queueOf(pool: PoolId): PoolQueue {
-        const known = this.queues.get(pool);
-        if (known) return known;
+        const existing = this.queues.get(pool);
+        if (existing) return existing;
         const { clock, random, registry, zone, coldRateOf, limitShareOf } = this.options;
         const coldRate = coldRateOf && ((): number => coldRateOf(pool));
         const limitShare = limitShareOf && ((): number => limitShareOf(pool));
@@ -179,15 +189,15 @@
         return queue;
     }
 
-    private takeChange(upstream: Upstream): void {
-        this.takeCacheEvents(upstream);
+    private applyUpstreamChange(upstream: Upstream): void {
+        this.applyCacheEvents(upstream);
         for (const queue of this.queues.values()) queue.updateUpstream(upstream);
     }
 
-    private takeCacheEvents(upstream: Upstream): void {
+    private applyCacheEvents(upstream: Upstream): void {
         const { incarnation, cache } = upstream.announcement;
-        const seen = this.seenIncarnations.get(upstream.id);
-        if (seen !== undefined && seen !== incarnation) this.forgetUpstream(upstream.id);
+        const lastIncarnation = this.seenIncarnations.get(upstream.id);
+        if (lastIncarnation !== undefined && lastIncarnation !== incarnation) this.forgetUpstream(upstream.id);
         this.seenIncarnations.set(upstream.id, incarnation);
         if (upstream.state === "gone") {
             this.forgetUpstream(upstream.id);
--- a/src/dispatch/localDispatcher/test.ts
+++ b/src/dispatch/localDispatcher/test.ts
@@ -5,13 +5,14 @@
 import { SeededRandom, VirtualClock } from "../../ports/index.js";
 import { makeAnnouncement, UpstreamRegistry } from "../../upstream/index.js";
 import { makeTicket } from "../_lib/fixtures.js";
-import { ROUTED_POLICIES } from "../policies/index.js";
+import { ROUTED_POLICIES } from "../dispatchPolicies/index.js";
 import { Completion, Grant, Refusal, Ticket } from "../ticket/index.js";
 import { LocalDispatcher } from "./index.js";
 
 type Decision = Either<Refusal, Grant>;
 
-class Bench {
+/** A dispatcher with one upstream, and the decisions and preemptions it has made. */
+class TestPool {
     readonly clock = new VirtualClock();
     readonly registry = new UpstreamRegistry({ clock: this.clock });
     readonly dispatcher = new LocalDispatcher({
@@ -60,162 +61,163 @@
 describe("LocalDispatcher", () => {
     describe("submit", () => {
         it("grants up to the slots, then in the order of tiers", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "first", tier: 3 });
-            void bench.submit({ request: "low", tier: 2 });
-            void bench.submit({ request: "high", tier: 1 });
-            await bench.clock.advance(1);
-            assert.deepEqual(bench.settled, ["first"]);
-            bench.complete("first");
-            await bench.clock.advance(1);
-            bench.complete("high");
-            await bench.clock.advance(1);
-            assert.deepEqual(bench.settled, ["first", "high", "low"]);
+            const pool = new TestPool(1);
+            void pool.submit({ request: "first", tier: 3 });
+            void pool.submit({ request: "low", tier: 2 });
+            void pool.submit({ request: "high", tier: 1 });
+            await pool.clock.advance(1);
+            assert.deepEqual(pool.settled, ["first"]);
+            pool.complete("first");
+            await pool.clock.advance(1);
+            pool.complete("high");
+            await pool.clock.advance(1);
+            assert.deepEqual(pool.settled, ["first", "high", "low"]);
         });
 
         it("never grants more than the slots over many completions", async () => {
-            const bench = new Bench(2);
-            const pool = "draft" as PoolId;
+            const pool = new TestPool(2);
+            const poolId = "draft" as PoolId;
             for (let index = 0; index < 20; index++) {
-                void bench.submit({ request: `r${index}`, firstTokenMs: 99_000, maxWaitMs: 99_000 });
+                void pool.submit({ request: `r${index}`, firstTokenMs: 99_000, maxWaitMs: 99_000 });
             }
             for (let round = 0; round < 20; round++) {
-                await bench.clock.advance(1);
-                assert.ok(bench.dispatcher.countRunning(pool) <= 2);
-                bench.complete(`r${round}`);
+                await pool.clock.advance(1);
+                assert.ok(pool.dispatcher.countRunning(poolId) <= 2);
+                pool.complete(`r${round}`);
             }
-            assert.equal(bench.settled.filter(text => !text.includes(" ")).length, 20);
+            assert.equal(pool.settled.filter(text => !text.includes(" ")).length, 20);
         });
 
-        it("refuses at its bound what nothing came free for", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "first" });
-            void bench.submit({ request: "second", maxWaitMs: 5_000, firstTokenMs: 60_000 });
-            await bench.clock.advance(5_100);
-            assert.deepEqual(bench.settled, ["first", "second wait-expired"]);
+        it("refuses a ticket when its maximum wait has passed without a free slot", async () => {
+            const pool = new TestPool(1);
+            void pool.submit({ request: "first" });
+            void pool.submit({ request: "second", maxWaitMs: 5_000, firstTokenMs: 60_000 });
+            await pool.clock.advance(5_100);
+            assert.deepEqual(pool.settled, ["first", "second wait-expired"]);
         });
 
-        it("refuses at once what has no hope", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "first" });
-            const decision = await bench.submit({ request: "second", firstTokenMs: 500, maxWaitMs: 500 });
+        it("refuses a ticket at once whose predicted wait is far beyond its maximum", async () => {
+            const pool = new TestPool(1);
+            void pool.submit({ request: "first" });
+            const decision = await pool.submit({ request: "second", firstTokenMs: 500, maxWaitMs: 500 });
             assert.equal((decision.extract() as Refusal).reason, "over-capacity");
             assert.ok((decision.extract() as Refusal).retryAfterMs >= 100);
         });
 
-        it("refuses what cannot meet its target as soon as that is certain", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "first" });
-            void bench.submit({ request: "second", firstTokenMs: 500 });
-            await bench.clock.advance(500);
-            assert.deepEqual(bench.settled, ["first", "second shed"]);
+        it("refuses a ticket as soon as it is certain to miss its target", async () => {
+            const pool = new TestPool(1);
+            void pool.submit({ request: "first" });
+            void pool.submit({ request: "second", firstTokenMs: 500 });
+            await pool.clock.advance(500);
+            assert.deepEqual(pool.settled, ["first", "second shed"]);
         });
 
-        it("settles with cancelled as soon as the caller goes, and gives the slot to the next", async () => {
-            const bench = new Bench(1);
+        it("settles with cancelled as soon as the caller disconnects, and grants the slot to the next", async () => {
+            const pool = new TestPool(1);
             const abort = new AbortController();
-            void bench.submit({ request: "first" });
-            void bench.submit({ request: "second" }, abort.signal);
-            void bench.submit({ request: "third" });
+            void pool.submit({ request: "first" });
+            void pool.submit({ request: "second" }, abort.signal);
+            void pool.submit({ request: "third" });
             abort.abort();
-            await bench.clock.advance(1);
-            bench.complete("first");
-            await bench.clock.advance(1);
-            assert.deepEqual(bench.settled, ["first", "second cancelled", "third"]);
+            await pool.clock.advance(1);
+            pool.complete("first");
+            await pool.clock.advance(1);
+            assert.deepEqual(pool.settled, ["first", "second cancelled", "third"]);
         });
 
-        it("refuses with no-upstream when none has been there for a while", async () => {
-            const bench = new Bench(1);
-            bench.announce(1, "leaving");
-            await bench.clock.advance(3_000);
-            const decision = await bench.submit({});
+        it("refuses with no-upstream when the pool has been empty for a while", async () => {
+            const pool = new TestPool(1);
+            pool.announce(1, "leaving");
+            await pool.clock.advance(3_000);
+            const decision = await pool.submit({});
             assert.equal((decision.extract() as Refusal).reason, "no-upstream");
         });
     });
 
-    describe("an upstream that goes silent while nothing is asked", () => {
-        // The first caller after a quiet hour waits for its time-out: its request went to an engine that crashed long ago.
-        // While the queues are idle no timer runs that would have noticed the silence.
+    describe("an upstream that becomes unresponsive while the queues are idle", () => {
+        // After an idle hour, the first request goes to an engine that crashed long ago, and its caller waits for the
+        // timeout: while the queues are idle, no timer runs that would expire the upstream.
         it("gets no grant", async () => {
-            const bench = new Bench(1);
-            await bench.clock.advance(3_600);
-            void bench.submit({ request: "first", maxWaitMs: 300 });
-            await bench.clock.advance(400);
-            assert.equal(bench.settled.includes("first"), false);
+            const pool = new TestPool(1);
+            await pool.clock.advance(3_600);
+            void pool.submit({ request: "first", maxWaitMs: 300 });
+            await pool.clock.advance(400);
+            assert.equal(pool.settled.includes("first"), false);
         });
     });
 
     describe("a completion that comes after its request was granted again", () => {
-        // A pool serves fewer and fewer requests: now and then a failed attempt is reported after the retry was granted
-        // elsewhere. The late report was taken for the retry's, whose own end then found no grant, and its slot stayed taken.
+        // The failure of an attempt is at times reported only after the retry was granted elsewhere. The late report
+        // was taken for that of the retry, whose own completion then found no grant: its slot stayed occupied, and the
+        // pool served fewer and fewer requests.
         it("does not hide the end of the second grant", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "first" });
-            await bench.clock.advance(1);
+            const pool = new TestPool(1);
+            void pool.submit({ request: "first" });
+            await pool.clock.advance(1);
             const usage = { promptTokens: 100, cachedTokens: 0, completionTokens: 0 };
             const request = "first" as RequestId;
-            bench.dispatcher.complete({ request, upstream: "u0" as UpstreamId, outcome: "failed", ...usage });
-            bench.complete("first");
-            void bench.submit({ request: "second" });
-            await bench.clock.advance(1);
-            assert.deepEqual(bench.settled, ["first", "second"]);
+            pool.dispatcher.complete({ request, upstream: "u0" as UpstreamId, outcome: "failed", ...usage });
+            pool.complete("first");
+            void pool.submit({ request: "second" });
+            await pool.clock.advance(1);
+            assert.deepEqual(pool.settled, ["first", "second"]);
         });
     });
 
     describe("forgetEntry", () => {
         it("frees the slots of a lost entry's grants and drops what it had waiting", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "lost", origin: "host-9" });
-            void bench.submit({ request: "lost too", origin: "host-9" });
-            void bench.submit({ request: "living" });
-            await bench.clock.advance(1);
-            bench.dispatcher.forgetEntry("host-9" as HostId);
-            await bench.clock.advance(1);
-            assert.deepEqual(bench.settled, ["lost", "lost too cancelled", "living"]);
+            const pool = new TestPool(1);
+            void pool.submit({ request: "lost", origin: "host-9" });
+            void pool.submit({ request: "lost too", origin: "host-9" });
+            void pool.submit({ request: "living" });
+            await pool.clock.advance(1);
+            pool.dispatcher.forgetEntry("host-9" as HostId);
+            await pool.clock.advance(1);
+            assert.deepEqual(pool.settled, ["lost", "lost too cancelled", "living"]);
         });
     });
 
     describe("preemption", () => {
-        it("takes the place of the lowest resumable request for a target at risk", async () => {
-            const bench = new Bench(2);
-            void bench.submit({ request: "middle", tier: 1, resumable: true });
-            void bench.submit({ request: "lowest", tier: 2, resumable: true });
-            void bench.submit({ request: "urgent", tier: 0, firstTokenMs: 400 });
-            await bench.clock.advance(1);
-            assert.deepEqual(bench.preempted, ["lowest"]);
-            bench.complete("lowest", "cancelled");
-            await bench.clock.advance(1);
-            assert.ok(bench.settled.includes("urgent"));
+        it("preempts the resumable request of the lowest tier for a target at risk", async () => {
+            const pool = new TestPool(2);
+            void pool.submit({ request: "middle", tier: 1, resumable: true });
+            void pool.submit({ request: "lowest", tier: 2, resumable: true });
+            void pool.submit({ request: "urgent", tier: 0, firstTokenMs: 400 });
+            await pool.clock.advance(1);
+            assert.deepEqual(pool.preempted, ["lowest"]);
+            pool.complete("lowest", "cancelled");
+            await pool.clock.advance(1);
+            assert.ok(pool.settled.includes("urgent"));
         });
 
-        it("spares what cannot be resumed and what is not lower", async () => {
-            const bench = new Bench(2);
-            void bench.submit({ request: "same", tier: 1, resumable: true });
-            void bench.submit({ request: "fixed", tier: 2, resumable: false });
-            void bench.submit({ request: "urgent", tier: 1, firstTokenMs: 400 });
-            await bench.clock.advance(500);
-            assert.deepEqual(bench.preempted, []);
+        it("preempts neither requests that cannot be resumed nor ones of the same tier", async () => {
+            const pool = new TestPool(2);
+            void pool.submit({ request: "same", tier: 1, resumable: true });
+            void pool.submit({ request: "fixed", tier: 2, resumable: false });
+            void pool.submit({ request: "urgent", tier: 1, firstTokenMs: 400 });
+            await pool.clock.advance(500);
+            assert.deepEqual(pool.preempted, []);
         });
     });
 
-    describe("an answer that was preempted in a burst", () => {
-        // A caller's summary stops in the middle and ends with an error: its slot went to a higher tier, and the burst lasted a
-        // little longer than a summary may wait for its start.
-        it("may wait twice as long to go on as for its start", async () => {
-            const bench = new Bench(1);
-            void bench.submit({ request: "busy" });
-            void bench.submit({ request: "cut", tier: 2, maxWaitMs: 5_000, resumeOffset: 40, ageMs: 60_000 });
-            await bench.clock.advance(9_900);
-            assert.deepEqual(bench.settled, ["busy"]);
-            await bench.clock.advance(200);
-            assert.deepEqual(bench.settled, ["busy", "cut wait-expired"]);
+    describe("a resumed answer", () => {
+        // A preempted answer lost its slot to a higher tier in a burst that lasted a little longer than the maximum
+        // wait of its class: it stopped halfway and ended with an error.
+        it("may wait twice the maximum wait", async () => {
+            const pool = new TestPool(1);
+            void pool.submit({ request: "busy" });
+            void pool.submit({ request: "cut", tier: 2, maxWaitMs: 5_000, resumeOffset: 40, ageMs: 60_000 });
+            await pool.clock.advance(9_900);
+            assert.deepEqual(pool.settled, ["busy"]);
+            await pool.clock.advance(200);
+            assert.deepEqual(pool.settled, ["busy", "cut wait-expired"]);
         });
     });
 
     describe("adopt", () => {
         it("counts the running requests of a lost owner, so that slots are not filled twice", async () => {
-            const first = new Bench(1);
-            const second = new Bench(1);
+            const first = new TestPool(1);
+            const second = new TestPool(1);
             const ticket = makeTicket({ request: "r1" });
             const grant = (await first.submit({ request: "r1" })).extract() as Grant;
             second.dispatcher.adopt(ticket, grant, 0);
@@ -229,9 +231,10 @@
     });
 
     describe("a routed pool of a hundred engines", () => {
-        it("sends a prompt where its shared parts were read before", async () => {
-            // A fleet grows from a dozen engines to a hundred, and documents that were read once by one engine are read again by most: the choice
-            // was offered a sample of the engines, in which the one that holds a document was missing two times in three.
+        it("sends a prompt to the engine that has its shared parts cached", async () => {
+            // In a pool of a hundred engines, documents that one engine had cached were prefilled again by most others:
+            // the choice policy was given a sample of the engines, which lacked the one with the document two times in
+            // three.
             const clock = new VirtualClock();
             const registry = new UpstreamRegistry({ clock });
             for (let index = 0; index < 98; index++) {
@@ -240,19 +243,19 @@
             const random = new SeededRandom(1);
             const zone = "vogar" as ZoneId;
             const dispatcher = new LocalDispatcher({ clock, random, registry, zone, policies: ROUTED_POLICIES });
-            const places = new Set<UpstreamId>();
+            const upstreams = new Set<UpstreamId>();
             for (let index = 0; index < 20; index++) {
                 const parts = [{ id: "itinerary", tokens: 6_000 }, { id: `own-${index}`, tokens: 500 }];
                 const ticket = makeTicket({ request: `r${index}`, parts, promptTokens: 6_500 });
                 const { request, upstream } = (await dispatcher.submit(ticket, new AbortController().signal))
                     .unsafeCoerce();
-                places.add(upstream);
+                upstreams.add(upstream);
                 const usage = { promptTokens: 6_500, cachedTokens: 0, completionTokens: 50 };
                 dispatcher.complete({ request, upstream, outcome: "answered", ...usage });
                 await clock.advance(50);
             }
             dispatcher.close();
-            assert.equal(places.size, 1);
+            assert.equal(upstreams.size, 1);
         });
     });
 });
--- a/src/dispatch/order/fifoOrder/index.ts
+++ b/src/dispatch/order/fifoOrder/index.ts
@@ -1,7 +1,7 @@
-import { WaitingTicket } from "../../waiting/index.js";
+import { WaitingTicket } from "../../waitingTicket/index.js";
 import { OrderPolicy } from "../orderPolicy/index.js";
 
-/** Baseline: first in, first out, blind to tiers and workspaces. */
+/** Baseline: first in, first out, regardless of tier and workspace. */
 export class FifoOrder extends OrderPolicy {
     private readonly tickets = new Set<WaitingTicket>();
     private totalCost = 0;
--- a/src/dispatch/order/orderPolicy/index.ts
+++ b/src/dispatch/order/orderPolicy/index.ts
@@ -1,38 +1,41 @@
-import { WaitingTicket } from "../../waiting/index.js";
+import { WaitingTicket } from "../../waitingTicket/index.js";
 
-/** The state of the pool when a slot is given out. */
+/** The pool's state when a slot becomes free. */
 export interface OrderContext {
     /** Monotonic time, in milliseconds. */
     readonly now: number;
-    /** Mean time until the next slot comes free, in milliseconds. */
-    readonly releaseMs: number;
-    /** From sending to the first token, as a rule, in milliseconds. */
+    /** Mean time until the next slot becomes free, in milliseconds. */
+    readonly slotReleaseMs: number;
+    /** Typical time from sending a request to its first token, in milliseconds. */
     readonly firstTokenMs: number;
-    /** Whether the tiers above one bring about as much as the pool can do, or more. */
-    readonly isFilledAbove: (tier: number) => boolean;
+    /** Whether the tiers above the given one bring about the pool's whole capacity or more. */
+    readonly isSaturatedAbove: (tier: number) => boolean;
 }
 
-/** The order of one pool's queue. */
+/** Determines the order of one pool's queue. */
 export abstract class OrderPolicy {
     abstract readonly size: number;
 
     abstract add(waiting: WaitingTicket): void;
 
-    /** Takes a ticket out that will not be granted. */
+    /** Removes a ticket that will not be granted; false when it is not queued. */
     abstract remove(waiting: WaitingTicket): boolean;
 
-    /** Takes out the ticket that gets the next slot. */
+    /** Removes and returns the ticket that gets the next slot. */
     abstract takeNext(context: OrderContext): WaitingTicket | undefined;
 
-    /** The predicted cost of what will be granted before this ticket, in tokens. */
+    /** Returns the predicted cost of the tickets that will be granted before this one, in tokens. */
     abstract costAhead(waiting: WaitingTicket): number;
 
-    /** A granted ticket has ended: puts its real cost in place of the predicted one. Called once for each. */
-    abstract correctCost(waiting: WaitingTicket, realCost: number): void;
+    /**
+     * Replaces the predicted cost of a granted ticket by its actual cost, in tokens. Called once for each granted
+     * ticket, when it ends.
+     */
+    abstract correctCost(waiting: WaitingTicket, actualCost: number): void;
 
-    /** All waiting tickets, those of the lowest tier first. */
+    /** Returns all waiting tickets, the lowest tier first. */
     abstract lowestTierFirst(): Iterable<WaitingTicket>;
 
-    /** The waiting tickets of one tier and above, the highest tier first. */
+    /** Returns all waiting tickets, the highest tier first. */
     abstract highestTierFirst(): Iterable<WaitingTicket>;
 }
--- a/src/dispatch/order/test.ts
+++ b/src/dispatch/order/test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { makeTicket } from "../_lib/fixtures.js";
-import { makeWaitingTicket, WaitingTicket } from "../waiting/index.js";
+import { makeWaitingTicket, WaitingTicket } from "../waitingTicket/index.js";
 import { FifoOrder, OrderContext, OrderPolicy, TierFairOrder } from "./index.js";
 
-const CONTEXT: OrderContext = { now: 0, releaseMs: 10, firstTokenMs: 100, isFilledAbove: () => false };
-let numbered = 0;
+const CONTEXT: OrderContext = { now: 0, slotReleaseMs: 10, firstTokenMs: 100, isSaturatedAbove: () => false };
+let nextTicketNumber = 0;
 
 function add(order: OrderPolicy, workspace: string, fields: Record<string, unknown> = {}): WaitingTicket {
-    const ticket = makeTicket({ request: `r${numbered++}`, workspace, promptTokens: 0, ...fields });
+    const ticket = makeTicket({ request: `r${nextTicketNumber++}`, workspace, promptTokens: 0, ...fields });
     const waiting = makeWaitingTicket(ticket, 0, 100);
     order.add(waiting);
     return waiting;
@@ -18,7 +18,7 @@
     return Array.from({ length: count }, () => order.takeNext(CONTEXT)!.ticket.workspace);
 }
 
-function count(taken: readonly string[], workspace: string): number {
+function countOf(taken: readonly string[], workspace: string): number {
     return taken.filter(other => other === workspace).length;
 }
 
@@ -30,8 +30,8 @@
             add(order, "small", { weight: 1 });
         }
         const taken = take(order, 40);
-        assert.equal(count(taken, "large"), 30);
-        assert.equal(count(taken, "small"), 10);
+        assert.equal(countOf(taken, "large"), 30);
+        assert.equal(countOf(taken, "small"), 10);
     });
 
     it("serves the earliest deadline of a workspace first", () => {
@@ -41,36 +41,36 @@
         assert.equal(order.takeNext(CONTEXT), urgent);
     });
 
-    describe("a workspace that comes back after a quiet hour", () => {
-        // Nine workspaces see their answers stop for minutes: the tenth has come back and its whole burst goes before
-        // them. Its counter stood still while theirs grew, so it seemed to be owed an hour of service.
-        it("shares from now on, without credit for the time it was away", () => {
+    describe("a workspace that was idle for an hour", () => {
+        // The counter of a workspace stood still while it was idle and the others' grew, so that its whole burst went
+        // before theirs: their answers stopped for minutes.
+        it("gets its share from now on, without credit for the idle time", () => {
             const order = new TierFairOrder();
             for (let index = 0; index < 100; index++) add(order, "steady");
             take(order, 50);
             for (let index = 0; index < 50; index++) add(order, "back");
             const taken = take(order, 20);
-            assert.ok(count(taken, "back") <= 11);
+            assert.ok(countOf(taken, "back") <= 11);
         });
     });
 
-    describe("a small workspace that has work running all the time", () => {
-        // A small partner gets nine tenths of its share of a busy pool: now and then it has no ticket waiting for a moment, and
-        // each time it is moved up to the others as if it had been away.
-        it("keeps the turns that it had not used, but a few at the most", () => {
+    describe("a small workspace that always has requests running", () => {
+        // A small workspace has no waiting ticket for a moment now and then. If its counter is moved up to the others
+        // each time, as after idling, it gets only nine tenths of its share of a busy pool.
+        it("keeps a limited number of unused turns", () => {
             const order = new TierFairOrder();
             for (let index = 0; index < 100; index++) add(order, "steady");
             add(order, "small");
             take(order, 40);
             for (let index = 0; index < 30; index++) add(order, "small");
             const taken = take(order, 20);
-            assert.equal(count(taken, "small"), 12);
+            assert.equal(countOf(taken, "small"), 12);
         });
     });
 
     describe("a workspace whose answers are longer than predicted", () => {
-        // One partner gets twice the tokens of the others under load: its answers are longer than predicted, and it
-        // was charged for the prediction only.
+        // A workspace whose answers are longer than predicted was charged for the prediction only, and got twice the
+        // tokens of the others under load.
         it("is charged for the real length", () => {
             const order = new TierFairOrder();
             for (let index = 0; index < 60; index++) {
@@ -83,37 +83,37 @@
                 taken = [...taken, waiting.ticket.workspace];
                 order.correctCost(waiting, waiting.ticket.workspace === "long" ? 300 : 100);
             }
-            assert.equal(count(taken, "long"), 10);
+            assert.equal(countOf(taken, "long"), 10);
         });
     });
 
     describe("a guaranteed share", () => {
-        it("lets a lower tier in while the higher one has time to spare", () => {
+        it("lets a lower tier go ahead while the higher one has slack", () => {
             const order = new TierFairOrder();
             for (let index = 0; index < 20; index++) add(order, "high", { tier: 0, firstTokenMs: 60_000 });
             for (let index = 0; index < 5; index++) add(order, "low", { tier: 1, guaranteedShare: 0.1 });
             const taken = take(order, 20);
-            assert.equal(count(taken, "low"), 2);
+            assert.equal(countOf(taken, "low"), 2);
         });
 
-        it("lets nobody in while the tiers above fill the pool", () => {
-            // A top-tier caller is refused in a burst that the pool could have carried: the slot it needed went to a lower
-            // class a moment before, when nobody above was in a hurry yet.
+        it("does not apply while the tiers above saturate the pool", () => {
+            // A slot went to a lower class at the start of a burst, when no waiting ticket above was urgent yet; a
+            // top-tier request that the pool could have served was then refused.
             const order = new TierFairOrder();
             for (let index = 0; index < 5; index++) add(order, "high", { tier: 0, firstTokenMs: 60_000 });
             add(order, "low", { tier: 1, guaranteedShare: 0.9 });
-            assert.equal(order.takeNext({ ...CONTEXT, isFilledAbove: () => true })!.ticket.workspace, "high");
+            assert.equal(order.takeNext({ ...CONTEXT, isSaturatedAbove: () => true })!.ticket.workspace, "high");
         });
 
-        it("lets nobody in while a higher target is near", () => {
+        it("does not apply while a higher target is near", () => {
             const order = new TierFairOrder();
             for (let index = 0; index < 20; index++) add(order, "high", { tier: 0, firstTokenMs: 300 });
             add(order, "low", { tier: 1, guaranteedShare: 0.9 });
-            assert.equal(count(take(order, 20), "low"), 0);
+            assert.equal(countOf(take(order, 20), "low"), 0);
         });
     });
 
-    it("predicts no more before a light workspace than fair turns let pass", () => {
+    it("limits the cost ahead of a light workspace to what fair turns allow", () => {
         const order = new TierFairOrder();
         for (let index = 0; index < 50; index++) add(order, "greedy");
         const light = add(order, "light");
--- a/src/dispatch/order/tierQueue/index.ts
+++ b/src/dispatch/order/tierQueue/index.ts
@@ -1,63 +1,66 @@
 import { WorkspaceId } from "../../../ids/index.js";
 import { Heap } from "../../_lib/heap.js";
-import { WaitingTicket } from "../../waiting/index.js";
+import { WaitingTicket } from "../../waitingTicket/index.js";
 
+/** The waiting tickets of one workspace in this tier, and its virtual token counter. */
 interface WorkspaceQueue {
     readonly workspace: WorkspaceId;
     weight: number;
-    /** Tokens served for each unit of weight. */
-    counter: number;
+    /** The virtual token counter: tokens charged per unit of weight. */
+    virtualTokens: number;
+    /** The predicted cost of its waiting tickets, in tokens. */
     waitingCost: number;
-    /** Its granted tickets that have not ended. */
-    running: number;
+    /** Number of its granted tickets that have not ended. */
+    runningCount: number;
     readonly tickets: Heap<WaitingTicket>;
 }
 
-/** Counters of idle workspaces are dropped, once the tier has caught up with them, from this many on. */
-const IDLE_SWEEP_AT = 256;
+/** Number of workspaces from which on counters of idle ones are removed, once the tier's counter has reached them. */
+const MIN_IDLE_EXPIRY_COUNT = 256;
 /**
- * How far a workspace that has work running may stay behind the others, in requests. A small one has no ticket waiting
- * now and then; moved up to the others each time, it would lose a tenth of its share to them.
+ * How far the counter of a workspace with running requests may lag behind the others, in requests. A small workspace
+ * has no waiting ticket at times; if it were moved up to the others each time, it would lose a tenth of its share to
+ * them.
  */
-const MOST_LAG = 4;
-/** Among more active workspaces than this, what each will get is not counted one by one. */
-const MOST_COUNTED = 64;
+const MAX_LAG_REQUESTS = 4;
+/** Up to this many active workspaces, the cost ahead is summed exactly; above it, it is estimated. */
+const MAX_EXACT_WORKSPACES = 64;
 
 /**
- * The waiting tickets of one tier. Workspaces take turns by the tokens they got for their weight (a virtual token
- * counter each); within a workspace the earliest deadline goes first. A workspace that was idle starts at the level of
- * the others: time without requests earns no credit, else it could hold the pool for as long as it had been away.
+ * The waiting tickets of one tier. Workspaces take turns by a virtual token counter each (tokens charged per weight);
+ * within a workspace the earliest deadline goes first. The counter of a workspace that was idle starts at the lowest
+ * one of the others: idle time earns no credit, or it could occupy the pool for as long as it had been idle.
  */
 export class TierQueue {
     private readonly queues = new Map<WorkspaceId, WorkspaceQueue>();
-    private readonly active = new Heap<WorkspaceQueue>((a, b) => a.counter < b.counter);
-    private readonly byTarget = new Heap<WaitingTicket>((a, b) => a.targetAt < b.targetAt);
+    private readonly activeQueues = new Heap<WorkspaceQueue>((a, b) => a.virtualTokens < b.virtualTokens);
+    private readonly ticketsByTarget = new Heap<WaitingTicket>((a, b) => a.targetAt < b.targetAt);
     private activeWeight = 0;
-    private level = 0;
+    private tierVirtualTokens = 0;
     private totalCost = 0;
-    private sweepAt = IDLE_SWEEP_AT;
+    private idleExpiryCount = MIN_IDLE_EXPIRY_COUNT;
 
     get size(): number {
-        return this.byTarget.size;
+        return this.ticketsByTarget.size;
     }
 
-    /** The predicted cost of all its waiting tickets, in tokens. */
+    /** Predicted cost of all waiting tickets, in tokens. */
     get cost(): number {
         return this.totalCost;
     }
 
-    /** When the tightest of its targets is due; Infinity when it is empty. */
-    get tightestTargetAt(): number {
-        return this.byTarget.first?.targetAt ?? Infinity;
+    /** Monotonic time at which the earliest target is due, in milliseconds; Infinity when no ticket waits. */
+    get earliestTargetAt(): number {
+        return this.ticketsByTarget.first?.targetAt ?? Infinity;
     }
 
-    /** The largest share of capacity that a waiting class may count on. */
+    /** The guaranteed share of the capacity for the class of the ticket that is next. */
     get guaranteedShare(): number {
-        return this.active.first?.tickets.first?.ticket.guaranteedShare ?? 0;
+        return this.activeQueues.first?.tickets.first?.ticket.guaranteedShare ?? 0;
     }
 
     values(): readonly WaitingTicket[] {
-        return this.byTarget.values();
+        return this.ticketsByTarget.values();
     }
 
     add(waiting: WaitingTicket): void {
@@ -65,7 +68,7 @@
         queue.tickets.add(waiting);
         queue.waitingCost += waiting.cost;
         this.totalCost += waiting.cost;
-        this.byTarget.add(waiting);
+        this.ticketsByTarget.add(waiting);
         if (queue.tickets.size === 1) this.activate(queue, waiting);
     }
 
@@ -74,52 +77,52 @@
         if (!queue?.tickets.remove(waiting)) return false;
         queue.waitingCost -= waiting.cost;
         this.totalCost -= waiting.cost;
-        this.byTarget.remove(waiting);
+        this.ticketsByTarget.remove(waiting);
         if (queue.tickets.size === 0) this.deactivate(queue);
         return true;
     }
 
-    /** Takes out the next ticket and charges its workspace with the predicted cost. */
+    /** Removes the next ticket and charges its workspace the predicted cost. */
     takeNext(): WaitingTicket | undefined {
-        const queue = this.active.first;
+        const queue = this.activeQueues.first;
         const waiting = queue?.tickets.first;
         if (!queue || !waiting) return undefined;
-        this.level = queue.counter;
+        this.tierVirtualTokens = queue.virtualTokens;
         this.charge(queue, waiting.cost);
-        queue.running++;
+        queue.runningCount++;
         this.remove(waiting);
         return waiting;
     }
 
-    /** A granted ticket has ended: charges its workspace with the difference between the real cost and the predicted. */
-    correctCost(waiting: WaitingTicket, realCost: number): void {
+    /** Charges the workspace of an ended ticket the difference between its actual and predicted cost. */
+    correctCost(waiting: WaitingTicket, actualCost: number): void {
         const queue = this.queues.get(waiting.ticket.workspace);
         if (!queue) return;
-        queue.running = Math.max(0, queue.running - 1);
-        this.charge(queue, realCost - waiting.cost);
+        queue.runningCount = Math.max(0, queue.runningCount - 1);
+        this.charge(queue, actualCost - waiting.cost);
     }
 
     /**
-     * The predicted cost of what this tier will grant before a ticket, in tokens: what its own workspace has waiting, and
-     * what each other workspace gets until its counter has caught up.
+     * Returns the predicted cost of what this tier grants before a ticket, in tokens: what its own workspace has
+     * waiting, and what each other workspace gets until its counter reaches that of the ticket's turn.
      */
     costAhead(waiting: WaitingTicket): number {
         const queue = this.queues.get(waiting.ticket.workspace);
-        const ownPart = queue?.tickets.has(waiting) ? waiting.cost : 0;
-        const ownCost = (queue?.waitingCost ?? 0) - ownPart;
-        const turnAt = this.startingCounter(queue, waiting) + ownCost / waiting.ticket.weight;
-        const lowest = this.active.first?.counter ?? this.level;
-        const others = this.active.size <= MOST_COUNTED
-            ? this.costUntil(turnAt, queue)
-            : Math.max(0, turnAt - lowest) * this.activeWeight;
-        return Math.min(this.totalCost - ownPart, ownCost + others);
+        const ticketCost = queue?.tickets.has(waiting) ? waiting.cost : 0;
+        const ownCost = (queue?.waitingCost ?? 0) - ticketCost;
+        const turnVirtualTokens = this.startingVirtualTokens(queue, waiting) + ownCost / waiting.ticket.weight;
+        const lowest = this.activeQueues.first?.virtualTokens ?? this.tierVirtualTokens;
+        const othersCost = this.activeQueues.size <= MAX_EXACT_WORKSPACES
+            ? this.otherWorkspacesCost(turnVirtualTokens, queue)
+            : Math.max(0, turnVirtualTokens - lowest) * this.activeWeight;
+        return Math.min(this.totalCost - ticketCost, ownCost + othersCost);
     }
 
-    private costUntil(turnAt: number, own: WorkspaceQueue | undefined): number {
+    private otherWorkspacesCost(turnVirtualTokens: number, ownQueue: WorkspaceQueue | undefined): number {
         let cost = 0;
-        for (const other of this.active.values()) {
-            if (other === own || other.counter >= turnAt) continue;
-            cost += Math.min(other.waitingCost, (turnAt - other.counter) * other.weight);
+        for (const other of this.activeQueues.values()) {
+            if (other === ownQueue || other.virtualTokens >= turnVirtualTokens) continue;
+            cost += Math.min(other.waitingCost, (turnVirtualTokens - other.virtualTokens) * other.weight);
         }
         return cost;
     }
@@ -128,13 +131,13 @@
         const { workspace, weight } = waiting.ticket;
         const known = this.queues.get(workspace);
         if (known) return known;
-        this.sweepIdle();
+        this.removeIdle();
         const queue: WorkspaceQueue = {
             workspace,
             weight,
-            counter: 0,
+            virtualTokens: 0,
             waitingCost: 0,
-            running: 0,
+            runningCount: 0,
             tickets: new Heap((a, b) => a.targetAt < b.targetAt),
         };
         this.queues.set(workspace, queue);
@@ -144,37 +147,40 @@
     private activate(queue: WorkspaceQueue, waiting: WaitingTicket): void {
         const { weight } = waiting.ticket;
         queue.weight = weight;
-        queue.counter = this.startingCounter(queue, waiting);
+        queue.virtualTokens = this.startingVirtualTokens(queue, waiting);
         this.activeWeight += weight;
-        this.active.add(queue);
+        this.activeQueues.add(queue);
     }
 
-    /** Where a workspace's counter stands once the ticket waits. */
-    private startingCounter(queue: WorkspaceQueue | undefined, waiting: WaitingTicket): number {
-        const lowest = this.active.first?.counter ?? this.level;
+    /** Returns the virtual token counter of a workspace at the time a ticket of it starts to wait. */
+    private startingVirtualTokens(queue: WorkspaceQueue | undefined, waiting: WaitingTicket): number {
+        const lowest = this.activeQueues.first?.virtualTokens ?? this.tierVirtualTokens;
         if (!queue) return lowest;
-        if (queue.tickets.size > 1) return queue.counter;
-        const lag = queue.running > 0 ? MOST_LAG * waiting.cost / waiting.ticket.weight : 0;
-        return Math.max(queue.counter, lowest - lag);
+        if (queue.tickets.size > 1) return queue.virtualTokens;
+        const lag = queue.runningCount > 0 ? MAX_LAG_REQUESTS * waiting.cost / waiting.ticket.weight : 0;
+        return Math.max(queue.virtualTokens, lowest - lag);
     }
 
     private deactivate(queue: WorkspaceQueue): void {
-        this.active.remove(queue);
+        this.activeQueues.remove(queue);
         this.activeWeight -= queue.weight;
     }
 
     private charge(queue: WorkspaceQueue, cost: number): void {
-        queue.counter += cost / queue.weight;
-        this.active.update(queue);
+        queue.virtualTokens += cost / queue.weight;
+        this.activeQueues.update(queue);
     }
 
-    /** Each sweep doubles the bound from what it left, so that a new workspace costs the same however many there are. */
-    private sweepIdle(): void {
-        if (this.queues.size < this.sweepAt) return;
+    /**
+     * Removes idle workspaces that the tier's counter has reached. Each run sets the next threshold to twice the
+     * remaining number, so that the amortized cost of a new workspace is constant.
+     */
+    private removeIdle(): void {
+        if (this.queues.size < this.idleExpiryCount) return;
         for (const queue of [...this.queues.values()]) {
-            if (queue.tickets.size + queue.running > 0 || queue.counter > this.level) continue;
+            if (queue.tickets.size + queue.runningCount > 0 || queue.virtualTokens > this.tierVirtualTokens) continue;
             this.queues.delete(queue.workspace);
         }
-        this.sweepAt = Math.max(IDLE_SWEEP_AT, 2 * this.queues.size);
+        this.idleExpiryCount = Math.max(MIN_IDLE_EXPIRY_COUNT, 2 * this.queues.size);
     }
 }
--- a/src/dispatch/outlook/index.ts
+++ b/src/dispatch/outlook/index.ts
@@ -1,140 +1,154 @@
 import { ArrivalRates } from "../arrivals/index.js";
 import { Completion } from "../ticket/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** What a pool is assumed to do until it was seen. */
-const DEFAULT_SERVICE_MS = 3_000;
-const DEFAULT_COST = 100;
-const DEFAULT_FIRST_TOKEN_MS = 100;
-const LEARN_WEIGHT = 0.05;
-/** Mean deviations above the mean that nine in ten stay under. */
-const CAUTION = 1.6;
-/** Over these times arrivals are averaged, in milliseconds: for what comes now, and for what comes as a rule. */
-const RECENT_MS = 5_000;
-const ONSET_MS = 1_500;
-const USUAL_MS = 120_000;
-/** A burst is when the tiers above bring this share of what the pool can do. */
-const BURST_LOAD = 0.9;
-/** A tier is overloaded when it and those above bring this share of what the pool can do. */
-const OVERLOAD = 1.2;
-/** How much longer a burst may last, as a share of how long it has lasted, for patient work to wait for its end. */
-const BURST_PATIENCE = 0.25;
-/** The least share of the pool counted on for a tier that higher ones would fill. */
-const LEAST_RESIDUAL = 0.02;
+/** Assumed averages until the first completion. */
+const INITIAL_SERVICE_MS = 3_000;
+const INITIAL_COST_TOKENS = 100;
+const INITIAL_FIRST_TOKEN_MS = 100;
+const MIN_SAMPLE_WEIGHT = 0.05;
+/** Mean absolute deviations above the mean that 90% of the values stay below. */
+const P90_MEAN_DEVIATIONS = 1.6;
+/** Time constants of the arrival averages: the current rate, the onset of an overload, and the long-term rate. */
+const RECENT_RATE_MS = 5_000;
+const ONSET_RATE_MS = 1_500;
+const LONG_TERM_RATE_MS = 120_000;
+/** A burst lasts while the tiers above bring at least this share of the pool's capacity. */
+const BURST_LOAD_RATIO = 0.9;
+/** A tier is overloaded when it and those above bring this share of the pool's capacity. */
+const OVERLOAD_RATIO = 1.2;
+/** The expected remaining length of a burst, as a share of its length so far. */
+const BURST_REMAINDER_RATIO = 0.25;
+/** The minimum share of capacity assumed to remain for a tier that higher ones would fill. */
+const MIN_RESIDUAL_RATIO = 0.02;
 
+/** A period in which the tiers above one bring about the pool's whole capacity or more. */
 interface Burst {
     /** Monotonic time, in milliseconds. */
     readonly since: number;
-    /** Tokens of cost in a millisecond. */
-    readonly usualAbove: number;
+    /** Long-term arrival rate of the tiers above when the burst began, in tokens of cost per millisecond. */
+    readonly longTermRateAbove: number;
 }
 
-/** The learned speed of a pool: how long requests hold a slot, and how much work each tier brings. */
-export class PoolOutlook {
-    private serviceMs = DEFAULT_SERVICE_MS;
-    private cost = DEFAULT_COST;
-    private firstTokenMean = DEFAULT_FIRST_TOKEN_MS;
+/** Estimates the waits in a pool from the service times and arrival rates that it has observed. */
+export class PoolForecast {
+    private averageServiceMs = INITIAL_SERVICE_MS;
+    private averageCost = INITIAL_COST_TOKENS;
+    private firstTokenMeanMs = INITIAL_FIRST_TOKEN_MS;
     private completions = 0;
-    private firstTokenDeviation = 0;
-    private readonly recent = new ArrivalRates(RECENT_MS);
-    private readonly onset = new ArrivalRates(ONSET_MS);
-    private readonly usual = new ArrivalRates(USUAL_MS);
+    private firstTokenDeviationMs = 0;
+    private readonly recentRates = new ArrivalRates(RECENT_RATE_MS);
+    private readonly onsetRates = new ArrivalRates(ONSET_RATE_MS);
+    private readonly longTermRates = new ArrivalRates(LONG_TERM_RATE_MS);
     private readonly bursts = new Map<number, Burst>();
 
-    /** From sending to the first token, in milliseconds: what nine in ten stay under. */
-    get firstTokenMs(): number {
-        return this.firstTokenMean + CAUTION * this.firstTokenDeviation;
+    /** Time from sending to the first token that 90% of the requests stay below, in milliseconds. */
+    get firstTokenP90Ms(): number {
+        return this.firstTokenMeanMs + P90_MEAN_DEVIATIONS * this.firstTokenDeviationMs;
     }
 
-    /** How long a request holds its slot on average, in milliseconds. */
+    /** Mean time that a request holds its slot, in milliseconds. */
     get meanServiceMs(): number {
-        return this.serviceMs;
+        return this.averageServiceMs;
     }
 
-    /** What a request costs on average, in tokens. */
+    /** Mean cost of a request, in tokens. */
     get meanCost(): number {
-        return this.cost;
+        return this.averageCost;
     }
 
-    /** Counts the work that a new ticket brings. */
-    learnArrival(waiting: WaitingTicket, now: number): void {
-        this.recent.add(waiting.ticket.tier, waiting.cost, now);
-        this.onset.add(waiting.ticket.tier, waiting.cost, now);
-        this.usual.add(waiting.ticket.tier, waiting.cost, now);
+    /** Adds the cost of a new ticket to the arrival rates. */
+    recordArrival(waiting: WaitingTicket, now: number): void {
+        this.recentRates.add(waiting.ticket.tier, waiting.cost, now);
+        this.onsetRates.add(waiting.ticket.tier, waiting.cost, now);
+        this.longTermRates.add(waiting.ticket.tier, waiting.cost, now);
     }
 
-    /** Learns from an answered request how long it held its slot and what it cost. */
-    learnCompletion(completion: Completion, heldMs: number, cost: number): void {
-        // The first few answers count as much as each other, so that the assumed figures are soon forgotten.
-        const weight = Math.max(LEARN_WEIGHT, 1 / ++this.completions);
-        this.serviceMs += weight * (heldMs - this.serviceMs);
-        this.cost += weight * (cost - this.cost);
+    /**
+     * Updates the averages with an answered request.
+     *
+     * @param heldMs - How long it held its slot, in milliseconds.
+     * @param cost - Its actual cost, in tokens.
+     */
+    recordCompletion(completion: Completion, heldMs: number, cost: number): void {
+        // The first few completions are weighted equally, so that the assumed averages soon lose their effect.
+        const weight = Math.max(MIN_SAMPLE_WEIGHT, 1 / ++this.completions);
+        this.averageServiceMs += weight * (heldMs - this.averageServiceMs);
+        this.averageCost += weight * (cost - this.averageCost);
         if (completion.firstTokenMs === undefined) return;
-        const difference = completion.firstTokenMs - this.firstTokenMean;
-        this.firstTokenMean += weight * difference;
-        this.firstTokenDeviation += weight * (Math.abs(difference) - this.firstTokenDeviation);
+        const difference = completion.firstTokenMs - this.firstTokenMeanMs;
+        this.firstTokenMeanMs += weight * difference;
+        this.firstTokenDeviationMs += weight * (Math.abs(difference) - this.firstTokenDeviationMs);
     }
 
     /**
-     * Mean time until the next slot comes free while all are busy, in milliseconds.
+     * Returns the mean time until the next slot becomes free while all are busy, in milliseconds.
      *
      * @param slots - The pool's usable slots.
      */
-    releaseMs(slots: number): number {
-        return this.serviceMs / orOne(slots);
+    slotReleaseMs(slots: number): number {
+        return this.averageServiceMs / slotsOrOne(slots);
     }
 
     /**
-     * How long a tier's work will probably wait for what is before it, with what the tiers above bring meanwhile.
+     * Predicts how long a ticket of a tier waits for the cost queued ahead and for what the tiers above bring
+     * meanwhile.
      *
-     * While the tiers above bring more than the pool can do, nothing below is served, and a prediction from that rate
-     * alone would refuse a patient class as soon as a burst begins. Of bursts that have lasted for some time, about one
-     * in five ends within a quarter of that time; after it the pool has what the longer average leaves. A patient ticket
-     * takes that chance, since its waiting costs nobody a slot.
+     * While the tiers above bring more than the pool's capacity, no lower tier is served, and a prediction from that
+     * rate alone would refuse a patient class as soon as a burst begins. Of the bursts that have lasted for some time,
+     * about one in five ends within a quarter of that time; the pool then has the capacity that the long-term rate
+     * leaves. The prediction counts on that chance, since a waiting ticket occupies no slot.
      *
-     * @param costAhead - The predicted cost of what will be granted before, in tokens.
+     * @param costAhead - The predicted cost of the tickets granted before, in tokens.
      * @param slots - The pool's usable slots.
-     * @returns Milliseconds.
+     * @returns The wait in milliseconds.
      */
     predictWaitMs(tier: number, costAhead: number, slots: number, now: number): number {
-        const all = this.capacity(slots);
-        const least = LEAST_RESIDUAL * all;
-        const above = this.recent.above(tier, now);
-        const waitMs = costAhead / Math.max(least, all - above);
-        const burst = this.followBurst(tier, above > BURST_LOAD * all, now);
+        const capacity = this.capacityPerMs(slots);
+        const minResidual = MIN_RESIDUAL_RATIO * capacity;
+        const rateAbove = this.recentRates.rateAbove(tier, now);
+        const waitMs = costAhead / Math.max(minResidual, capacity - rateAbove);
+        const burst = this.trackBurst(tier, rateAbove > BURST_LOAD_RATIO * capacity, now);
         if (!burst) return waitMs;
-        const patientMs = BURST_PATIENCE * (now - burst.since) + costAhead / Math.max(least, all - burst.usualAbove);
-        return Math.min(waitMs, patientMs);
+        const afterBurstMs = BURST_REMAINDER_RATIO * (now - burst.since)
+            + costAhead / Math.max(minResidual, capacity - burst.longTermRateAbove);
+        return Math.min(waitMs, afterBurstMs);
     }
 
-    /** Whether a tier and those above it bring far more than the pool can do, so that some of it must be refused. */
+    /**
+     * Whether a tier and those above it bring far more than the pool's capacity, so that some of their requests must be
+     * refused.
+     */
     isOverloaded(tier: number, slots: number, now: number): boolean {
-        return this.onset.above(tier + 1, now) > OVERLOAD * this.capacity(slots);
+        return this.onsetRates.rateAbove(tier + 1, now) > OVERLOAD_RATIO * this.capacityPerMs(slots);
     }
 
-    /** Whether the tiers above one bring about as much as the pool can do, or more. */
-    isFilledAbove(tier: number, slots: number, now: number): boolean {
-        return this.recent.above(tier, now) > BURST_LOAD * this.capacity(slots);
+    /** Whether the tiers above one bring about the pool's whole capacity or more. */
+    isSaturatedAbove(tier: number, slots: number, now: number): boolean {
+        return this.recentRates.rateAbove(tier, now) > BURST_LOAD_RATIO * this.capacityPerMs(slots);
     }
 
-    /** Tokens of cost in a millisecond. */
-    private capacity(slots: number): number {
-        return orOne(slots) * this.cost / this.serviceMs;
+    /** Returns the pool's capacity, in tokens of cost per millisecond. */
+    private capacityPerMs(slots: number): number {
+        return slotsOrOne(slots) * this.averageCost / this.averageServiceMs;
     }
 
-    /** Keeps since when the tiers above one have brought more than the pool can do, and what they brought before. */
-    private followBurst(tier: number, isBurst: boolean, now: number): Burst | undefined {
+    /** Records when the current burst above a tier began, and the long-term rate at that time. */
+    private trackBurst(tier: number, isBurst: boolean, now: number): Burst | undefined {
         if (!isBurst) {
             this.bursts.delete(tier);
             return undefined;
         }
-        const burst = this.bursts.get(tier) ?? { since: now, usualAbove: this.usual.above(tier, now) };
+        const burst = this.bursts.get(tier)
+            ?? { since: now, longTermRateAbove: this.longTermRates.rateAbove(tier, now) };
         this.bursts.set(tier, burst);
         return burst;
     }
 }
 
-/** A pool without usable slots is judged as if it had one; fractions are those of upstreams that take few requests. */
-function orOne(slots: number): number {
+/**
+ * Returns 1 for a pool without usable slots. Fractions come from upstreams that limit their request rate, and are kept.
+ */
+function slotsOrOne(slots: number): number {
     return slots > 0 ? slots : 1;
 }
--- a/src/dispatch/poolOwner/index.ts
+++ b/src/dispatch/poolOwnerTable/index.ts
@@ -2,13 +2,14 @@
 import { HostId, PoolId } from "../../ids/index.js";
 
 /**
- * Puts hosts into the order in which they own a pool's queue: the first owns it, the second would without that one, and so on, by the
- * hash of (pool, region, host), the highest first. When a host is lost, only the pools that it owned move.
+ * Ranks hosts as owners of a pool's queue: the first owns it, the second takes over without the first, and so on. The
+ * order is that of the hash of (pool, region, host), the highest first. When a host is lost, only the pools that it
+ * owned move.
  *
  * @param pool - The pool.
- * @param region - Where its upstreams are: each region has a queue of its own.
+ * @param region - The region of its upstreams: each region has its own queue.
  * @param hosts - The live hosts that may own it, in any order.
- * @returns All of them.
+ * @returns All hosts, in the order of ownership.
  * @example
  * const [owner, next] = rankPoolOwners("draft" as PoolId, "sudurnes", hosts);
  */
@@ -22,8 +23,8 @@
 }
 
 /**
- * Remembers the owners for one list of hosts: the order costs a hash for each host, and is asked for with each ticket and
- * each announcement.
+ * Caches the ranking for one list of hosts: it takes a hash per host, and is needed for each ticket and each
+ * announcement.
  *
  * @example
  * const [owner, next] = table.rank("draft" as PoolId, directory.queueHosts());
@@ -32,21 +33,21 @@
     private hosts: readonly HostId[] = [];
     private readonly ranked = new Map<PoolId, readonly HostId[]>();
 
-    /** @param region - As `rankPoolOwners`. */
+    /** @param region - As for `rankPoolOwners`. */
     constructor(private readonly region: string) {}
 
     /**
-     * As `rankPoolOwners`.
+     * Returns the result of `rankPoolOwners`.
      *
-     * @param hosts - The live hosts; what is remembered holds for as long as it is the same list.
+     * @param hosts - The live hosts; the cache is valid as long as this is the same array.
      */
     rank(pool: PoolId, hosts: readonly HostId[]): readonly HostId[] {
         if (hosts !== this.hosts) {
             this.hosts = hosts;
             this.ranked.clear();
         }
-        const known = this.ranked.get(pool);
-        if (known) return known;
+        const cached = this.ranked.get(pool);
+        if (cached) return cached;
         const ranked = rankPoolOwners(pool, this.region, hosts);
         this.ranked.set(pool, ranked);
         return ranked;
--- a/src/dispatch/poolOwner/test.ts
+++ b/src/dispatch/poolOwnerTable/test.ts
@@ -21,7 +21,7 @@
     });
 
     describe("PoolOwnerTable", () => {
-        it("gives the same as the choice, for each list of hosts", () => {
+        it("returns the same ranking as rankPoolOwners, for each list of hosts", () => {
             const table = new PoolOwnerTable("sudurnes");
             const pool = "draft" as PoolId;
             const all = ["a", "b", "c", "d"] as HostId[];
--- a/src/dispatch/poolQueue/index.ts
+++ b/src/dispatch/poolQueue/index.ts
@@ -3,21 +3,21 @@
 import { HostId, RequestId, UpstreamId } from "../../ids/index.js";
 import { Choice, PromptPart, StragglerPolicy, Upstream, UpstreamChoice } from "../../upstream/index.js";
 import { makeGrant } from "../_lib/makeGrant.js";
-import { Waiters } from "../_lib/waiters.js";
+import { PendingDecisions } from "../_lib/waiters.js";
 import { AdmissionControl, makeRefusal } from "../admissionControl/index.js";
 import { OrderContext, OrderPolicy } from "../order/index.js";
-import { PoolOutlook } from "../outlook/index.js";
+import { PoolForecast } from "../outlook/index.js";
 import { PoolQueueOptions } from "../poolQueueOptions/index.js";
 import { Preempter } from "../preempter/index.js";
-import { walkProspects } from "../prospects/index.js";
-import { countTokens, RunningRequest, RunningSet } from "../running/index.js";
+import { forecastWaits } from "../prospects/index.js";
+import { recordTokens, RunningRequest, RunningSet } from "../runningSet/index.js";
 import { Completion, Grant, Refusal, Ticket } from "../ticket/index.js";
 import { TicketQueue, TicketQueueOptions } from "../ticketQueue/index.js";
 import { UpstreamPicker } from "../upstreamPicker/index.js";
-import { costInTokens, makeWaitingTicket, WaitingTicket } from "../waiting/index.js";
+import { costInTokens, makeWaitingTicket, WaitingTicket } from "../waitingTicket/index.js";
 
-/** What an outcome says of the upstream; undefined: nothing. */
-const FAILED: Readonly<Record<Completion["outcome"], boolean | undefined>> = {
+/** Whether an outcome counts as a failure of the upstream; undefined when it says nothing about it. */
+const OUTCOME_IS_FAILURE: Readonly<Record<Completion["outcome"], boolean | undefined>> = {
     answered: false,
     failed: true,
     errored: true,
@@ -26,15 +26,19 @@
     unused: undefined,
 };
 
-/** Ticks between two looks at all upstreams of the pool. */
-const REVIEW_TICKS = 4;
-/** Ticks between two looks at the queue when more than so many wait: a look costs more, and is as fresh as they need. */
-const MANY_WAITING_TICKS = 4;
-const MANY_WAITING = 256;
+/** Ticks between two reviews of the pool's upstreams for stragglers. */
+const STRAGGLER_REVIEW_TICKS = 4;
+/**
+ * With more waiting tickets than `LONG_QUEUE_TICKETS`, they are reviewed only at every this many ticks: a review of a
+ * long queue costs more, and its long waits need it less often.
+ */
+const LONG_QUEUE_REVIEW_TICKS = 4;
+const LONG_QUEUE_TICKETS = 256;
 
 /**
- * The queue of one pool. p-queue runs one task for each granted request, from the grant to its completion; its
- * concurrency is what runs plus what the upstreams can take now, and its queue class holds the order.
+ * The queue of one pool. p-queue runs one task for each granted request, from the grant to its completion. Its
+ * concurrency is the number of running requests plus the free slots of the upstreams; its queue class determines the
+ * order.
  */
 export class PoolQueue {
     private readonly order: OrderPolicy;
@@ -45,10 +49,10 @@
     private readonly picker: UpstreamPicker;
     private readonly tickets: TicketQueue;
     private readonly queue: PQueue<TicketQueue, TicketQueueOptions>;
-    private readonly waiters = new Waiters();
+    private readonly decisions = new PendingDecisions();
     private readonly running = new RunningSet();
-    private readonly outlook = new PoolOutlook();
-    private heldSlots = 0;
+    private readonly forecast = new PoolForecast();
+    private grantedSlots = 0;
     private ticks = 0;
 
     constructor(private readonly options: PoolQueueOptions) {
@@ -58,14 +62,14 @@
             ...options,
             policy: policies.createPreemption(),
             running: this.running,
-            outlook: this.outlook,
+            forecast: this.forecast,
         });
         this.stragglers = policies.createStragglers();
         this.admission = new AdmissionControl({
             ...options,
             policy: policies.createAdmission(),
             order: this.order,
-            outlook: this.outlook,
+            forecast: this.forecast,
             preempter: this.preempter,
         });
         const { pool, capacityOf } = options;
@@ -73,103 +77,106 @@
         this.picker = new UpstreamPicker({ ...options, choice: this.choice });
         const tickets = new TicketQueue(this.order, () => this.readOrderContext());
         this.tickets = tickets;
-        // p-queue makes its queue itself and passes no arguments.
+        // p-queue constructs its queue itself, without arguments.
         const queueClass = function(): TicketQueue {
             return tickets;
         } as unknown as new() => TicketQueue;
-        options.members.useServiceTime(() => this.outlook.meanServiceMs);
+        options.members.useServiceTime(() => this.forecast.meanServiceMs);
         this.queue = new PQueue<TicketQueue, TicketQueueOptions>({ queueClass, autoStart: false });
         this.updateConcurrency();
     }
 
     /** Whether nothing waits and nothing runs. */
     get isIdle(): boolean {
-        return this.waiters.size === 0 && this.running.size === 0;
+        return this.decisions.size === 0 && this.running.size === 0;
     }
 
-    /** The tickets that wait, in no order. */
+    /** Returns the waiting tickets in no particular order. */
     listWaiting(): WaitingTicket[] {
-        return this.waiters.list();
+        return this.decisions.listTickets();
     }
 
-    /** What runs, in no order. */
+    /** Returns the tickets of the running requests in no particular order. */
     listRunning(): WaitingTicket[] {
         return [...this.running.values()].map(({ waiting }) => waiting);
     }
 
     get waitingCount(): number {
-        return this.waiters.size;
+        return this.decisions.size;
     }
 
     get runningCount(): number {
         return this.running.size;
     }
 
-    /** As `Dispatcher.submit`. */
+    /** Implements `Dispatcher.submit` for this pool. */
     submit(ticket: Ticket, signal: AbortSignal): Promise<Either<Refusal, Grant>> {
         const now = this.options.clock.monotonic();
-        this.takeLimits(ticket);
-        const left = Math.max(1, ticket.maxTokens - ticket.resumeOffset);
-        const waiting = makeWaitingTicket(ticket, now, this.options.lengths.predictMean(ticket, left));
-        this.outlook.learnArrival(waiting, now);
+        this.applyLimits(ticket);
+        const remainingTokens = Math.max(1, ticket.maxTokens - ticket.resumeOffset);
+        const waiting = makeWaitingTicket(ticket, now, this.options.lengths.predictMean(ticket, remainingTokens));
+        this.forecast.recordArrival(waiting, now);
         this.options.observer.queued(waiting);
         const refusal = signal.aborted
             ? makeRefusal(waiting, "cancelled", 0, "the caller has gone")
-            : this.admission.judgeNew(waiting);
+            : this.admission.checkNew(waiting);
         if (refusal) {
             this.options.observer.refused(waiting, refusal);
-            return Promise.resolve(Left(this.explain(refusal)));
+            return Promise.resolve(Left(this.withLimits(refusal)));
         }
         return new Promise(resolve => {
             const onAbort = (): void =>
                 this.refuseWaiting(waiting, makeRefusal(waiting, "cancelled", 0, "the caller has gone"));
-            this.waiters.add(waiting, resolve, signal, onAbort);
+            this.decisions.add(waiting, resolve, signal, onAbort);
             this.enqueue(waiting);
-            if (this.waiters.has(waiting)) this.preempter.consider(waiting, this.order.costAhead(waiting));
+            if (this.decisions.has(waiting)) this.preempter.preemptForNew(waiting, this.order.costAhead(waiting));
         });
     }
 
     /**
-     * As `Dispatcher.complete`.
+     * Implements `Dispatcher.complete` for this pool.
      *
-     * @returns Whether it ended a grant: one that came late, for an upstream tried before, ends nothing.
+     * @returns Whether it ended a grant: a late completion of an earlier attempt at another upstream ends none.
      */
     complete(completion: Completion): boolean {
         const now = this.options.clock.monotonic();
         const running = this.running.get(completion.request);
         if (!running || running.load.upstream.id !== completion.upstream) return false;
         this.running.remove(running);
-        this.choice.ended(completion.request, FAILED[completion.outcome], now, completion.longestGapMs);
+        this.choice.ended(completion.request, OUTCOME_IS_FAILURE[completion.outcome], now, completion.longestGapMs);
         running.load.markEnded(now);
-        this.learn(running, completion, now);
+        this.recordCompletion(running, completion, now);
         this.options.members.refresh(running.load);
         running.release();
         this.updateConcurrency();
         return true;
     }
 
-    /** As `Dispatcher.progress`. */
+    /** Implements `Dispatcher.progress` for this pool. */
     progress(request: RequestId, tokens: number): void {
         const running = this.running.get(request);
         if (!running) return;
         const now = this.options.clock.monotonic();
         this.choice.progressed(request, running.tokens === 0, now);
-        const tokenMs = countTokens(running, tokens, now);
+        const tokenMs = recordTokens(running, tokens, now);
         if (tokenMs !== undefined) running.load.learnPace(tokenMs);
     }
 
     /**
-     * Counts a request that runs by another owner's grant, so that a new owner of the queue does not fill its slot again.
+     * Counts a request that runs by a grant of another owner, so that a new owner of the queue does not use its slot
+     * again.
+     *
+     * @param runningMs - Time since it was granted, in milliseconds.
      */
     adopt(ticket: Ticket, grant: Grant, runningMs: number): void {
         const load = this.options.members.get(grant.upstream);
         if (!load || this.running.get(ticket.request)) return;
         const now = this.options.clock.monotonic();
-        this.admission.noteTakeover();
+        this.admission.recordTakeover();
         load.adopt(now - runningMs);
-        this.takeLimits(ticket);
+        this.applyLimits(ticket);
         const waiting = makeWaitingTicket(ticket, now, this.options.lengths.predictMean(ticket, ticket.maxTokens));
-        this.choice.adopted(load, this.picker.describe(waiting, now), runningMs);
+        this.choice.adopted(load, this.picker.toChoiceRequest(waiting, now), runningMs);
         const grantedAt = now - runningMs;
         this.running.add({ waiting, load, grantedAt, tokens: 0, isPreempted: false, release: () => undefined });
         this.options.members.refresh(load);
@@ -177,13 +184,13 @@
     }
 
     /**
-     * Ends all that an entry asked for: it is lost and will never complete its grants, which would hold their slots for
-     * ever, and the pool would shrink with each host that fails.
+     * Ends all requests of a lost entry. It will never complete its grants: their slots would stay occupied, and the
+     * pool's capacity would shrink with each failed host.
      *
      * @returns The running requests that were ended.
      */
     forgetEntry(host: HostId): readonly RequestId[] {
-        for (const waiting of this.waiters.list()) {
+        for (const waiting of this.decisions.listTickets()) {
             if (waiting.ticket.origin === host) {
                 this.refuseWaiting(waiting, makeRefusal(waiting, "cancelled", 0, "the entry is lost"));
             }
@@ -198,18 +205,21 @@
         return lost.map(({ waiting }) => waiting.ticket.request);
     }
 
-    /** As `UpstreamChoice.readingLoad`. */
-    readingLoad(): number | undefined {
+    /**
+     * Returns the number of upstreams kept busy by the prefill of the pool's prompts; undefined where that is not
+     * tracked.
+     */
+    prefillLoad(): number | undefined {
         return this.choice.readingLoad(this.options.clock.monotonic());
     }
 
-    /** As `UpstreamChoice.learnHeld`. */
-    learnHeld(upstream: UpstreamId, parts: readonly PromptPart[]): void {
+    /** Records parts of prompts that an upstream reports to have cached. */
+    recordHeldParts(upstream: UpstreamId, parts: readonly PromptPart[]): void {
         this.choice.learnHeld(upstream, parts, this.options.clock.monotonic());
     }
 
-    /** As `Dispatcher.noteLimit`. */
-    noteLimit(upstream: UpstreamId, perSecond: number | undefined, ageMs: number): void {
+    /** Implements `Dispatcher.noteLimit` for this pool. */
+    recordLimit(upstream: UpstreamId, perSecond: number | undefined, ageMs: number): void {
         const { members, clock } = this.options;
         const load = members.get(upstream);
         if (!load) return;
@@ -219,57 +229,60 @@
         this.updateConcurrency();
     }
 
-    /** Forgets what was learned of an upstream that has ended or lives anew. */
+    /** Discards what is known of an upstream that has ended or has restarted. */
     forgetUpstream(upstream: UpstreamId): void {
         this.choice.forget(upstream);
         this.options.members.get(upstream)?.forgetLimit();
     }
 
-    /** Takes over a change that the registry told of. */
+    /** Applies a change of an upstream in the registry. */
     updateUpstream(upstream: Upstream): void {
         this.options.members.update(upstream);
         this.updateConcurrency();
     }
 
-    /** What time alone brings: expiry, shedding, preemption, stragglers, back-off ends. */
+    /**
+     * Handles everything that depends only on time: wait expiry, shedding, preemption, stragglers and the end of
+     * back-offs.
+     */
     tick(): void {
-        const turn = this.ticks++;
-        if (turn % REVIEW_TICKS === 0) this.reviewMembers();
+        const tickNumber = this.ticks++;
+        if (tickNumber % STRAGGLER_REVIEW_TICKS === 0) this.ejectStragglers();
         else this.options.members.refreshThrottled();
         this.updateConcurrency();
-        if (this.waiters.size === 0) return;
-        if (this.waiters.size > MANY_WAITING && turn % MANY_WAITING_TICKS !== 0) return;
-        this.shed();
-        this.preempter.considerAll(this.order.highestTierFirst());
+        if (this.decisions.size === 0) return;
+        if (this.decisions.size > LONG_QUEUE_TICKETS && tickNumber % LONG_QUEUE_REVIEW_TICKS !== 0) return;
+        this.refuseLateTickets();
+        this.preempter.preemptForWaiting(this.order.highestTierFirst());
     }
 
-    /** Refuses all that waits, as the process is about to stop: another entry takes the queue over. */
+    /** Refuses all waiting tickets because the process is about to stop: another entry takes over the queue. */
     drain(): void {
-        for (const waiting of this.waiters.list()) {
+        for (const waiting of this.decisions.listTickets()) {
             this.refuseWaiting(waiting, makeRefusal(waiting, "draining", 0, "the entry stops"));
         }
     }
 
-    private takeLimits({ limits = [] }: Ticket): void {
-        for (const { upstream, perSecond, ageMs } of limits) this.noteLimit(upstream, perSecond, ageMs);
+    private applyLimits({ limits = [] }: Ticket): void {
+        for (const { upstream, perSecond, ageMs } of limits) this.recordLimit(upstream, perSecond, ageMs);
     }
 
-    private reviewMembers(): void {
+    private ejectStragglers(): void {
         const { members, observer, clock } = this.options;
         const ejected = this.stragglers.review(members.all, clock.monotonic());
         members.refreshAll();
         for (const load of ejected) {
             observer.ejected(load.upstream.id);
-            this.preempter.moveAway(load, members.freeSlots - this.waiters.size);
+            this.preempter.moveOffStraggler(load, members.freeSlots - this.decisions.size);
         }
     }
 
     private enqueue(waiting: WaitingTicket): void {
-        // Rejects never: `start` catches nothing and throws nothing. A ticket that is withdrawn leaves it pending.
-        void this.queue.add(() => this.start(waiting), { waiting });
+        // The promise never rejects, since `grantOrRequeue` does not throw. A withdrawn ticket leaves it pending.
+        void this.queue.add(() => this.grantOrRequeue(waiting), { waiting });
     }
 
-    private start(waiting: WaitingTicket): Promise<void> {
+    private grantOrRequeue(waiting: WaitingTicket): Promise<void> {
         const choice = this.picker.pick(waiting, this.options.clock.monotonic());
         if (!choice) {
             this.options.members.refreshAll();
@@ -279,10 +292,10 @@
         }
         return new Promise(resolve => {
             const release = (): void => {
-                this.heldSlots--;
+                this.grantedSlots--;
                 resolve();
             };
-            this.heldSlots++;
+            this.grantedSlots++;
             this.grant(waiting, choice, release);
         });
     }
@@ -298,15 +311,15 @@
         const reason = choice.reason + this.options.members.describeLimits();
         const grant = makeGrant(waiting, { ...choice, reason }, now);
         this.options.observer.granted(waiting, grant);
-        this.waiters.settle(waiting, Right(grant));
+        this.decisions.settle(waiting, Right(grant));
     }
 
-    private shed(): void {
+    private refuseLateTickets(): void {
         const now = this.options.clock.monotonic();
-        const { outlook } = this;
+        const { forecast } = this;
         const { usableSlots } = this.options.members;
-        const releaseMs = outlook.releaseMs(usableSlots);
-        walkProspects(this.order.highestTierFirst(), { now, usableSlots, outlook }, (waiting, waitMs) => {
+        const releaseMs = forecast.slotReleaseMs(usableSlots);
+        forecastWaits(this.order.highestTierFirst(), { now, usableSlots, forecast }, (waiting, waitMs) => {
             if (now >= waiting.expiresAt) {
                 this.refuseWaiting(
                     waiting,
@@ -315,7 +328,7 @@
                 return false;
             }
             if (usableSlots === 0) return true;
-            const refusal = this.admission.judgeWait(waiting, waitMs, "shed");
+            const refusal = this.admission.checkWait(waiting, waitMs, "shed");
             if (!refusal) return true;
             this.refuseWaiting(waiting, refusal);
             return false;
@@ -323,17 +336,17 @@
     }
 
     private refuseWaiting(waiting: WaitingTicket, refusal: Refusal): void {
-        if (!this.waiters.has(waiting)) return;
+        if (!this.decisions.has(waiting)) return;
         this.tickets.withdraw(waiting);
         this.options.observer.refused(waiting, refusal);
-        this.waiters.settle(waiting, Left(this.explain(refusal)));
+        this.decisions.settle(waiting, Left(this.withLimits(refusal)));
     }
 
-    private explain(refusal: Refusal): Refusal {
+    private withLimits(refusal: Refusal): Refusal {
         return { ...refusal, detail: refusal.detail + this.options.members.describeLimits() };
     }
 
-    private learn(running: RunningRequest, completion: Completion, now: number): void {
+    private recordCompletion(running: RunningRequest, completion: Completion, now: number): void {
         const { waiting, load } = running;
         const cost = costInTokens(completion.promptTokens - completion.cachedTokens, completion.completionTokens);
         this.order.correctCost(waiting, completion.outcome === "unused" ? 0 : cost);
@@ -342,15 +355,15 @@
         if (completion.outcome !== "answered") return;
         load.markHealthy();
         if (completion.tokenMs !== undefined) load.learnPace(completion.tokenMs);
-        this.outlook.learnCompletion(completion, now - running.grantedAt, cost);
+        this.forecast.recordCompletion(completion, now - running.grantedAt, cost);
         if (waiting.ticket.resumeOffset === 0) {
-            this.options.lengths.learn(waiting.ticket, completion.completionTokens);
+            this.options.lengths.record(waiting.ticket, completion.completionTokens);
         }
     }
 
     private updateConcurrency(): void {
-        this.admission.noteMembers();
-        const concurrency = this.heldSlots + this.options.members.freeSlots;
+        this.admission.recordMembers();
+        const concurrency = this.grantedSlots + this.options.members.freeSlots;
         if (concurrency === 0) {
             this.queue.pause();
             return;
@@ -364,9 +377,9 @@
         const { usableSlots } = this.options.members;
         return {
             now,
-            releaseMs: this.outlook.releaseMs(usableSlots),
-            firstTokenMs: this.outlook.firstTokenMs,
-            isFilledAbove: tier => this.outlook.isFilledAbove(tier, usableSlots, now),
+            slotReleaseMs: this.forecast.slotReleaseMs(usableSlots),
+            firstTokenMs: this.forecast.firstTokenP90Ms,
+            isSaturatedAbove: tier => this.forecast.isSaturatedAbove(tier, usableSlots, now),
         };
     }
 }
--- a/src/dispatch/preempter/index.ts
+++ b/src/dispatch/preempter/index.ts
@@ -1,73 +1,88 @@
 import { RequestId } from "../../ids/index.js";
 import { Clock } from "../../ports/index.js";
 import { PoolMembers, UpstreamLoad } from "../../upstream/index.js";
-import { DispatchObserver } from "../observer/index.js";
-import { PoolOutlook } from "../outlook/index.js";
-import { PreemptionPolicy } from "../preemption/index.js";
-import { RunningSet } from "../running/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { DispatchObserver } from "../dispatchObserver/index.js";
+import { PoolForecast } from "../outlook/index.js";
+import { PreemptionPolicy } from "../preemptionPolicy/index.js";
+import { RunningSet } from "../runningSet/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** What a preempter works with. */
+/** Options of `Preempter`. */
 export interface PreempterOptions {
     readonly clock: Clock;
     readonly policy: PreemptionPolicy;
     readonly running: RunningSet;
-    readonly outlook: PoolOutlook;
+    readonly forecast: PoolForecast;
     readonly members: PoolMembers;
     readonly observer: DispatchObserver;
+    /** Asks the sender of a running request to cancel it and to submit it again. */
     readonly preempt: (request: RequestId) => void;
 }
 
-/** Waiting tickets looked at in one tick. */
-const MOST_AT_RISK = 64;
+/** Number of waiting tickets considered for preemption in one tick. */
+const MAX_EXAMINED = 64;
 
-/** Asks running requests of one pool to give their place or to go on elsewhere. */
+/** Asks running requests of one pool to give up their slot to a higher tier, or to move off a straggler. */
 export class Preempter {
     constructor(private readonly options: PreempterOptions) {}
 
-    /** Whether enough lower work could give its place to a ticket and to those before it. */
-    canServe(waiting: WaitingTicket, costAhead: number): boolean {
+    /**
+     * Whether enough requests of lower tiers can be preempted for a ticket and for those ahead of it.
+     *
+     * @param costAhead - The predicted cost queued ahead of the ticket, in tokens.
+     */
+    canPreemptFor(waiting: WaitingTicket, costAhead: number): boolean {
         const { policy, running } = this.options;
-        if (!policy.isEnabled || this.isInVain(waiting)) return false;
-        const needed = this.ticketsIn(costAhead) + 1 - running.pendingPreemptions;
+        if (!policy.isEnabled || this.isFutile(waiting)) return false;
+        const needed = this.toTicketCount(costAhead) + 1 - running.pendingPreemptions;
         return running.countPreemptible(waiting.ticket.tier) >= Math.max(1, needed);
     }
 
-    /** Preempts for a new ticket when it would else miss its target. */
-    consider(waiting: WaitingTicket, costAhead: number): void {
-        this.preemptFor(waiting, this.ticketsIn(costAhead));
+    /**
+     * Preempts a request when a new ticket would otherwise miss its target.
+     *
+     * @param costAhead - The predicted cost queued ahead of the ticket, in tokens.
+     */
+    preemptForNew(waiting: WaitingTicket, costAhead: number): void {
+        this.preemptFor(waiting, this.toTicketCount(costAhead));
     }
 
-    /** Preempts for those of the waiting tickets that would else miss their targets. */
-    considerAll(highestTierFirst: Iterable<WaitingTicket>): void {
+    /** Preempts requests for the waiting tickets that would otherwise miss their targets. */
+    preemptForWaiting(highestTierFirst: Iterable<WaitingTicket>): void {
         let ahead = 0;
         for (const waiting of highestTierFirst) {
-            if (ahead >= MOST_AT_RISK || this.options.running.countPreemptible(waiting.ticket.tier) === 0) return;
+            if (ahead >= MAX_EXAMINED || this.options.running.countPreemptible(waiting.ticket.tier) === 0) return;
             this.preemptFor(waiting, ahead++);
         }
     }
 
-    /** Lets what runs on a straggler go on elsewhere, the highest tier first, as far as there is room. */
-    moveAway(load: UpstreamLoad, room: number): void {
-        let left = room;
-        for (const running of this.options.running.movable()) {
-            if (left <= 0) return;
+    /**
+     * Moves requests from a straggler to other upstreams, the highest tier first.
+     *
+     * @param load - The straggler.
+     * @param room - Maximum number of requests to move.
+     */
+    moveOffStraggler(load: UpstreamLoad, room: number): void {
+        let remaining = room;
+        for (const running of this.options.running.listMovable()) {
+            if (remaining <= 0) return;
             if (running.load !== load) continue;
-            left--;
+            remaining--;
             this.options.running.markMoving(running);
             this.options.preempt(running.waiting.ticket.request);
         }
     }
 
-    private preemptFor(waiting: WaitingTicket, ahead: number): void {
-        const { policy, running, outlook, members, clock } = this.options;
+    private preemptFor(waiting: WaitingTicket, ticketsAhead: number): void {
+        const { policy, running, forecast, members, clock } = this.options;
         const { tier } = waiting.ticket;
-        // Places that are about to come free are for those ahead first; only beyond these another one is needed.
-        const isCovered = running.pendingPreemptions > ahead;
+        // Slots of requests already asked to stop go to the tickets ahead first; another one is only needed beyond
+        // these.
+        const isCovered = running.pendingPreemptions > ticketsAhead;
         if (!policy.isEnabled || isCovered || running.countPreemptible(tier) === 0) return;
-        if (this.isInVain(waiting)) return;
-        const waitMs = (ahead + 1) * outlook.releaseMs(members.usableSlots);
-        const context = { now: clock.monotonic(), waitMs, firstTokenMs: outlook.firstTokenMs };
+        if (this.isFutile(waiting)) return;
+        const waitMs = (ticketsAhead + 1) * forecast.slotReleaseMs(members.usableSlots);
+        const context = { now: clock.monotonic(), waitMs, firstTokenMs: forecast.firstTokenP90Ms };
         const victim = policy.pickVictim(waiting, running, context);
         if (!victim) return;
         running.markPreempted(victim);
@@ -76,17 +91,18 @@
     }
 
     /**
-     * While a tier overloads the pool by itself, some of it is refused whatever gives its place. A preempted answer would
-     * then wait behind that tier until its bound and be lost in its middle: one answer gained, one and a half lost. The top
-     * tier is served whatever it costs below.
+     * Whether a preemption would not increase the number of answers. While a tier and those above it overload the pool,
+     * part of that tier is refused whatever is preempted. A preempted answer would then wait behind that tier until its
+     * wait limit and be lost halfway: one answer gained for one and a half lost. The top tier is served at any cost to
+     * lower ones.
      */
-    private isInVain(waiting: WaitingTicket): boolean {
-        const { outlook, members, clock } = this.options;
+    private isFutile(waiting: WaitingTicket): boolean {
+        const { forecast, members, clock } = this.options;
         if (waiting.ticket.tier === 0) return false;
-        return outlook.isOverloaded(waiting.ticket.tier, members.usableSlots, clock.monotonic());
+        return forecast.isOverloaded(waiting.ticket.tier, members.usableSlots, clock.monotonic());
     }
 
-    private ticketsIn(cost: number): number {
-        return cost / this.options.outlook.meanCost;
+    private toTicketCount(cost: number): number {
+        return cost / this.options.forecast.meanCost;
     }
 }
--- a/src/dispatch/prospects/index.ts
+++ b/src/dispatch/prospects/index.ts
@@ -1,57 +1,62 @@
 import { WorkspaceId } from "../../ids/index.js";
-import { PoolOutlook } from "../outlook/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { PoolForecast } from "../outlook/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** The pool's capacity when prospects are predicted. */
-export interface ProspectContext {
+/** The pool's state at the time of a forecast. */
+export interface ForecastContext {
     /** Monotonic time, in milliseconds. */
     readonly now: number;
     readonly usableSlots: number;
-    readonly outlook: PoolOutlook;
+    readonly forecast: PoolForecast;
 }
 
-interface Ahead {
+/** The cost of the kept tickets queued ahead in one tier, in tokens. */
+interface QueuedCost {
     cost: number;
     readonly byWorkspace: Map<WorkspaceId, number>;
 }
 
 /**
- * Walks the queue from the highest tier down and predicts each ticket's wait from what is kept before it. Judging from
- * the top down makes shedding start at the bottom: a higher ticket never waits for a lower one, so only what is
- * above a ticket, or before it in its tier, can be the reason to shed it.
+ * Predicts each ticket's wait from the kept tickets queued ahead of it, from the highest tier down. The order makes
+ * shedding start at the lowest tier: a higher ticket never waits for a lower one, so a ticket can only be shed because
+ * of tickets in higher tiers or ahead of it in its own.
  *
- * @param tickets - All that wait.
- * @param isKept - Told of each ticket's predicted wait in milliseconds; says whether it stays.
+ * @param tickets - All waiting tickets.
+ * @param shouldKeep - Called with each ticket and its predicted wait in milliseconds; returns whether the ticket stays
+ * in the queue.
  */
-export function walkProspects(
+export function forecastWaits(
     tickets: Iterable<WaitingTicket>,
-    context: ProspectContext,
-    isKept: (waiting: WaitingTicket, waitMs: number) => boolean,
+    context: ForecastContext,
+    shouldKeep: (waiting: WaitingTicket, waitMs: number) => boolean,
 ): void {
-    let aboveCost = 0;
-    for (const tier of groupByTier(tickets)) {
-        const weights = sumWeights(tier);
-        const ahead: Ahead = { cost: 0, byWorkspace: new Map() };
+    let higherTiersCost = 0;
+    for (const tier of groupByTierAndTarget(tickets)) {
+        const totalWeight = sumWeights(tier);
+        const queuedAhead: QueuedCost = { cost: 0, byWorkspace: new Map() };
         for (const waiting of tier) {
-            const costAhead = aboveCost + costBefore(waiting, ahead, weights);
-            const { outlook, usableSlots, now } = context;
-            const waitMs = outlook.predictWaitMs(waiting.ticket.tier, costAhead, usableSlots, now);
-            if (!isKept(waiting, waitMs)) continue;
-            ahead.cost += waiting.cost;
+            const costAhead = higherTiersCost + costAheadInTier(waiting, queuedAhead, totalWeight);
+            const { forecast, usableSlots, now } = context;
+            const waitMs = forecast.predictWaitMs(waiting.ticket.tier, costAhead, usableSlots, now);
+            if (!shouldKeep(waiting, waitMs)) continue;
+            queuedAhead.cost += waiting.cost;
             const { workspace } = waiting.ticket;
-            ahead.byWorkspace.set(workspace, (ahead.byWorkspace.get(workspace) ?? 0) + waiting.cost);
+            queuedAhead.byWorkspace.set(workspace, (queuedAhead.byWorkspace.get(workspace) ?? 0) + waiting.cost);
         }
-        aboveCost += ahead.cost;
+        higherTiersCost += queuedAhead.cost;
     }
 }
 
-/** All before it by deadline, but not more than fair turns let pass before its workspace's turn. */
-function costBefore(waiting: WaitingTicket, ahead: Ahead, weights: number): number {
-    const own = ahead.byWorkspace.get(waiting.ticket.workspace) ?? 0;
-    return Math.min(ahead.cost, own * weights / waiting.ticket.weight);
+/**
+ * Returns the cost queued ahead of a ticket by deadline, but at most what fair turns allow the tier before its
+ * workspace's turn.
+ */
+function costAheadInTier(waiting: WaitingTicket, queuedAhead: QueuedCost, totalWeight: number): number {
+    const ownCost = queuedAhead.byWorkspace.get(waiting.ticket.workspace) ?? 0;
+    return Math.min(queuedAhead.cost, ownCost * totalWeight / waiting.ticket.weight);
 }
 
-function groupByTier(tickets: Iterable<WaitingTicket>): WaitingTicket[][] {
+function groupByTierAndTarget(tickets: Iterable<WaitingTicket>): WaitingTicket[][] {
     const tiers: WaitingTicket[][] = [];
     for (const waiting of tickets) (tiers[waiting.ticket.tier] ??= []).push(waiting);
     return tiers.filter(tier => tier !== undefined).map(tier => tier.sort((a, b) => a.targetAt - b.targetAt));
--- a/src/dispatch/running/index.ts
+++ b/src/dispatch/runningSet/index.ts
@@ -1,9 +1,9 @@
 import { RequestId } from "../../ids/index.js";
 import { UpstreamLoad } from "../../upstream/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
-/** A moment in a running answer. */
-export interface PaceMark {
+/** The token count of a running answer at one time. */
+export interface PaceSample {
     /** Monotonic time, in milliseconds. */
     readonly at: number;
     readonly tokens: number;
@@ -15,47 +15,49 @@
     readonly load: UpstreamLoad;
     /** Monotonic time of the grant, in milliseconds. */
     readonly grantedAt: number;
-    /** Tokens it has got so far. */
+    /** Tokens of the answer received so far. */
     tokens: number;
-    /** From where its pace is measured next. */
-    paceFrom?: PaceMark;
-    /** It was asked to give its place to a higher tier. */
+    /** The start of the current pace measurement. */
+    paceFrom?: PaceSample;
+    /** Whether it was asked to stop for a higher tier. */
     isPreempted: boolean;
-    /** Frees the slot in the queue. */
+    /** Frees its slot in the queue. */
     readonly release: () => void;
 }
 
-/** Tokens between two looks at a running request's pace. */
-const PACE_TOKENS = 8;
+/** Tokens per pace measurement. */
+const PACE_SAMPLE_TOKENS = 8;
 
 /**
- * Counts tokens that a request has got.
+ * Records tokens received by a request.
  *
+ * @param tokens - Tokens since the last call.
  * @param now - Monotonic time, in milliseconds.
- * @returns The mean time between tokens since the last look, in milliseconds, when enough have come for another look.
+ * @returns The mean time between tokens since the last pace measurement, in milliseconds; undefined until enough tokens
+ * have come for a new one.
  */
-export function countTokens(running: RunningRequest, tokens: number, now: number): number | undefined {
+export function recordTokens(running: RunningRequest, tokens: number, now: number): number | undefined {
     running.tokens += tokens;
     const from = running.paceFrom;
-    const seen = from ? running.tokens - from.tokens : 0;
-    if (from && seen < PACE_TOKENS) return undefined;
+    const newTokens = from ? running.tokens - from.tokens : 0;
+    if (from && newTokens < PACE_SAMPLE_TOKENS) return undefined;
     running.paceFrom = { at: now, tokens: running.tokens };
-    return from ? (now - from.at) / seen : undefined;
+    return from ? (now - from.at) / newTokens : undefined;
 }
 
-/** The running requests of a pool, by tier. */
+/** The running requests of a pool, indexed by request id and by tier. */
 export class RunningSet {
     private readonly byRequest = new Map<RequestId, RunningRequest>();
     private readonly resumable: Set<RunningRequest>[] = [];
-    private preemptions = 0;
+    private preemptedCount = 0;
 
     get size(): number {
         return this.byRequest.size;
     }
 
-    /** How many were asked to give their place and have not done so yet. */
+    /** Number of requests that were asked to stop for a higher tier and have not ended yet. */
     get pendingPreemptions(): number {
-        return this.preemptions;
+        return this.preemptedCount;
     }
 
     get(request: RequestId): RunningRequest | undefined {
@@ -74,33 +76,36 @@
     remove(running: RunningRequest): void {
         this.byRequest.delete(running.waiting.ticket.request);
         this.resumableOf(running.waiting.ticket.tier).delete(running);
-        if (running.isPreempted) this.preemptions--;
+        if (running.isPreempted) this.preemptedCount--;
     }
 
-    /** Marks one as asked to give its place, so that it is not counted on twice. */
+    /** Marks a request as asked to stop, so that its slot is not counted on again. */
     markPreempted(running: RunningRequest): void {
         running.isPreempted = true;
-        this.preemptions++;
+        this.preemptedCount++;
         this.resumableOf(running.waiting.ticket.tier).delete(running);
     }
 
-    /** Marks one as asked to go on elsewhere: its place comes free, but not on an upstream that counts. */
+    /**
+     * Marks a request as asked to move off a straggler. It no longer counts as preemptible: the slot that it frees is
+     * not on a usable upstream.
+     */
     markMoving(running: RunningRequest): void {
         this.resumableOf(running.waiting.ticket.tier).delete(running);
     }
 
-    /** Those that could go on elsewhere, the highest tier first. */
-    *movable(): Iterable<RunningRequest> {
+    /** Yields the requests that can move to another upstream, the highest tier first. */
+    *listMovable(): Iterable<RunningRequest> {
         for (const set of this.resumable) yield* [...set];
     }
 
-    /** How many below a tier could give their place. */
+    /** Returns the number of requests below a tier that can be preempted. */
     countPreemptible(tier: number): number {
         return this.resumable.slice(tier + 1).reduce((sum, set) => sum + set.size, 0);
     }
 
-    /** Those of the lowest tier that has any below the given one. */
-    lowestPreemptible(tier: number): Iterable<RunningRequest> {
+    /** Returns the preemptible requests of the lowest tier below the given one that has any. */
+    preemptibleOfLowestTier(tier: number): Iterable<RunningRequest> {
         for (let lower = this.resumable.length - 1; lower > tier; lower--) {
             if (this.resumable[lower].size > 0) return this.resumable[lower];
         }
--- a/src/dispatch/ticket/index.ts
+++ b/src/dispatch/ticket/index.ts
@@ -2,72 +2,80 @@
 import { Address } from "../../ports/index.js";
 import { PromptPart, RequestLimit } from "../../upstream/index.js";
 
-/** What the queue's owner knows of a request: never its body or its key. */
+/** The owner's view of a request, without its body and its key. */
 export interface Ticket {
     readonly request: RequestId;
-    /** The entry that holds the caller's connection. */
+    /** The entry process that holds the caller's connection. */
     readonly origin: HostId;
     readonly workspace: WorkspaceId;
     readonly className: ClassName;
     /** 0 is the highest. */
     readonly tier: number;
-    /** The workspace's weight beside the others of its tier. */
+    /** The workspace's weight relative to the others of its tier. */
     readonly weight: number;
     readonly pool: PoolId;
     readonly promptTokens: number;
-    /** The most tokens the answer may have. */
+    /** Maximum length of the answer, in tokens. */
     readonly maxTokens: number;
+    /** Target for the time from arrival to the first token, in milliseconds. */
     readonly firstTokenMs: number;
+    /** Target for the time between two tokens, in milliseconds. */
     readonly tokenMs: number;
-    /** The longest it may wait for a grant, in milliseconds from its arrival. */
+    /** Maximum wait for a grant, in milliseconds from its arrival. */
     readonly maxWaitMs: number;
+    /** The share of the pool's capacity guaranteed to its class, from 0 to 1. */
     readonly guaranteedShare: number;
-    /** How long ago the request arrived when this ticket was made, in milliseconds. */
+    /** Time from the request's arrival to the creation of this ticket, in milliseconds. */
     readonly ageMs: number;
     /** Hashes of the prompt's prefixes, the shortest first. */
     readonly prefixes: readonly string[];
-    /** The prompt's parts with their sizes, where they are known. */
+    /** The parts of the prompt with their sizes, where known. */
     readonly parts?: readonly PromptPart[];
-    /** The longest pause between two events that is on time, in milliseconds; undefined for answers that are no streams. */
+    /**
+     * Longest pause between two events that counts as on time, in milliseconds; undefined for answers that are not
+     * streams.
+     */
     readonly gapMs?: number;
-    /** Upstreams of the pool can fetch parts of a prompt from each other. */
+    /** Whether upstreams of the pool can fetch parts of a prompt from each other. */
     readonly canFetch?: boolean;
-    /** What must be sent to the upstream, in bytes, where it is known. */
+    /** Size of the request body sent to the upstream, in bytes, where known. */
     readonly bodyBytes?: number;
-    /** Where the entry is that will send it; undefined: where the queue is. */
+    /** The zone of the entry that will send it; undefined for the zone of the queue's owner. */
     readonly zone?: ZoneId;
-    /** The answer can be stopped and continued elsewhere. */
+    /** Whether the answer can be stopped and continued at another upstream. */
     readonly resumable: boolean;
-    /** It may run more than once. */
+    /** Whether it may run more than once. */
     readonly repeatable: boolean;
-    /** Upstreams that failed this request before. */
+    /** Upstreams that have failed this request. */
     readonly avoid: readonly UpstreamId[];
-    /** Tokens the caller has already, when the answer is continued. */
+    /** Number of tokens that the caller already has, when an answer is continued. */
     readonly resumeOffset: number;
-    /** What the entry knows of limits that upstreams of the pool name: whoever decides must know it too. */
+    /**
+     * Request rate limits stated by upstreams of the pool, as received by the entry: the owner must respect them too.
+     */
     readonly limits?: readonly RequestLimit[];
 }
 
-/** Leave to send one request to one upstream. */
+/** Permission to send one request to one upstream. */
 export interface Grant {
     readonly request: RequestId;
     readonly upstream: UpstreamId;
     readonly address: Address;
-    /** From where the upstream should fetch parts of the prompt before it reads the rest. */
+    /** The upstream from which to fetch cached parts of the prompt before the prefill of the rest. */
     readonly fetchFrom?: Address;
-    /** What to tell the engine: 0 is the most urgent. */
+    /** Priority passed to the engine; 0 is the most urgent. */
     readonly priority: number;
-    /** How long the request waited in the queue, in milliseconds. */
+    /** Time that the request waited in the queue, in milliseconds. */
     readonly waitedMs: number;
-    /** Why this upstream, for `sequoiamux explain`. */
+    /** Why this upstream was chosen, for `sequoiamux explain`. */
     readonly reason: string;
-    /** The limit that the upstream names, and how long ago that was heard, in milliseconds. */
+    /** The request rate limit stated by the upstream, and the time since it was received, in milliseconds. */
     readonly limit?: Pick<RequestLimit, "perSecond" | "ageMs">;
-    /** The host that decided on it. */
+    /** The host that made the grant. */
     readonly decidedBy?: HostId;
 }
 
-/** Why a request was not granted. All of these mean "not run". */
+/** Why a request was not granted. With each of these, the request has not run. */
 export type RefusalReason =
     | "no-upstream"
     | "over-capacity"
@@ -81,26 +89,30 @@
 export interface Refusal {
     readonly request: RequestId;
     readonly reason: RefusalReason;
-    /** When to come back, in milliseconds. */
+    /** Delay before the caller should retry, in milliseconds. */
     readonly retryAfterMs: number;
-    /** For `sequoiamux explain`. */
+    /** Explanation for `sequoiamux explain`. */
     readonly detail: string;
 }
 
-/** What became of a granted request. */
+/** The outcome of a granted request. */
 export interface Completion {
     readonly request: RequestId;
     readonly upstream: UpstreamId;
     /**
-     * `failed`: no answer came from the upstream; `errored`: it ran the request and answered with a failure; `refused`: it did not run
-     * it, being full or about to leave; `cancelled`: the caller's wish or a preemption; `unused`: it never left.
+     * `failed`: no answer came from the upstream; `errored`: it ran the request and answered with a failure; `refused`:
+     * it did not run the request because it was full or about to leave; `cancelled`: by the caller or a preemption;
+     * `unused`: the request was never sent.
      */
     readonly outcome: "answered" | "failed" | "errored" | "refused" | "cancelled" | "unused";
-    /** From sending to the first token, in milliseconds; undefined when none came. */
+    /** Time from sending to the first token, in milliseconds; undefined when none came. */
     readonly firstTokenMs?: number;
-    /** Mean time between tokens, in milliseconds; undefined below two tokens. */
+    /** Mean time between tokens, in milliseconds; undefined with fewer than two. */
     readonly tokenMs?: number;
-    /** The longest time between two events, in milliseconds; undefined below two, or where the stream came from several upstreams. */
+    /**
+     * Longest time between two events, in milliseconds; undefined with fewer than two, or when the stream came from
+     * several upstreams.
+     */
     readonly longestGapMs?: number;
     readonly promptTokens: number;
     readonly cachedTokens: number;
--- a/src/dispatch/ticketQueue/index.ts
+++ b/src/dispatch/ticketQueue/index.ts
@@ -1,21 +1,21 @@
 import type { Queue, QueueAddOptions } from "p-queue";
 import { OrderContext, OrderPolicy } from "../order/index.js";
-import { WaitingTicket } from "../waiting/index.js";
+import { WaitingTicket } from "../waitingTicket/index.js";
 
 type RunFunction = () => Promise<unknown>;
 
-/** What p-queue hands over with a task. */
+/** The options that p-queue passes to `enqueue` with a task. */
 export interface TicketQueueOptions extends QueueAddOptions {
     readonly waiting: WaitingTicket;
 }
 
-/** Lets p-queue run tickets in the order that an `OrderPolicy` says. */
+/** A p-queue queue class that runs tickets in the order of an `OrderPolicy`. */
 export class TicketQueue implements Queue<RunFunction, TicketQueueOptions> {
     private readonly runs = new Map<WaitingTicket, RunFunction>();
 
     /**
-     * @param order - The pool's order.
-     * @param readContext - The pool's state, read when a slot comes free.
+     * @param order - Orders the tickets.
+     * @param readContext - Returns the pool's state; called when a slot becomes free.
      */
     constructor(private readonly order: OrderPolicy, private readonly readContext: () => OrderContext) {}
 
@@ -37,7 +37,7 @@
         return run;
     }
 
-    /** Takes a ticket out that will not be granted. */
+    /** Removes a ticket that will not be granted; false when it is not queued. */
     withdraw(waiting: WaitingTicket): boolean {
         this.runs.delete(waiting);
         return this.order.remove(waiting);
@@ -47,6 +47,6 @@
         return [...this.runs.values()];
     }
 
-    /** The order policy alone decides. */
+    /** Does nothing: only the order policy determines the order. */
     setPriority(): void {}
 }
--- a/src/dispatch/waiting/index.ts
+++ b/src/dispatch/waitingTicket/index.ts
@@ -1,33 +1,33 @@
 import { Ticket } from "../ticket/index.js";
 
-/** What one prompt token costs beside one token of the answer, which takes an engine far longer. */
+/** The cost of a prompt token relative to one token of the answer, which takes an engine far longer. */
 export const PROMPT_TOKEN_COST = 0.05;
 
-/** How many times as long an answer that was cut may wait to go on: refused, it is lost with all that was made of it. */
-const RESUMED_WAIT_FACTOR = 2;
+/** Multiplies the maximum wait of an interrupted answer: if it is refused, everything generated so far is lost. */
+const RESUMED_MAX_WAIT_FACTOR = 2;
 
-/** A ticket in a pool's queue. */
+/** A ticket in a pool's queue, with its deadlines and predicted cost. */
 export interface WaitingTicket {
     readonly ticket: Ticket;
     /** Monotonic time at which the caller's request arrived, in milliseconds. */
     readonly arrivedAt: number;
     /** Monotonic time at which its first token is due, in milliseconds. */
     readonly targetAt: number;
-    /** Monotonic time at which it is refused at the latest, in milliseconds. */
+    /** Monotonic time at which its wait expires, in milliseconds. */
     readonly expiresAt: number;
-    /** How long the answer will probably be, in tokens. */
+    /** The predicted length of the answer, in tokens. */
     readonly predictedTokens: number;
-    /** What it will probably cost, in tokens of an answer. */
+    /** The predicted cost, in answer tokens. */
     readonly cost: number;
 }
 
 /**
- * Sets a ticket's times. A request that was preempted has shown its first token already: its bounds start anew, or a
- * long answer would be refused for its age in the middle of its stream.
+ * Computes a ticket's deadlines and cost. A resumed request has already shown its first token, so its deadlines start
+ * again: otherwise a long answer would be refused for its age in the middle of its stream.
  *
- * @param ticket - As it came.
+ * @param ticket - The ticket as received.
  * @param now - Monotonic time, in milliseconds.
- * @param predictedTokens - How long the rest of its answer will probably be.
+ * @param predictedTokens - The predicted length of the rest of its answer, in tokens.
  */
 export function makeWaitingTicket(ticket: Ticket, now: number, predictedTokens: number): WaitingTicket {
     const isResumed = ticket.resumeOffset > 0;
@@ -36,13 +36,13 @@
         ticket,
         arrivedAt,
         targetAt: arrivedAt + ticket.firstTokenMs,
-        expiresAt: arrivedAt + (isResumed ? RESUMED_WAIT_FACTOR : 1) * ticket.maxWaitMs,
+        expiresAt: arrivedAt + (isResumed ? RESUMED_MAX_WAIT_FACTOR : 1) * ticket.maxWaitMs,
         predictedTokens,
         cost: costInTokens(ticket.promptTokens, predictedTokens),
     };
 }
 
-/** What a request costs, in tokens of an answer. */
+/** Returns the cost of a request, in answer tokens. */
 export function costInTokens(promptTokens: number, completionTokens: number): number {
     return completionTokens + PROMPT_TOKEN_COST * promptTokens;
 }
