--- a/src/passthrough/attempt/index.ts
+++ b/src/passthrough/attempt/index.ts
@@ -7,40 +7,43 @@
 import { PreparedCall } from "../prepareCall/index.js";
 import { StreamState } from "../streamState/index.js";
 
-/** One try at one upstream. */
+/** One attempt to run a call at one upstream. */
 export interface Attempt {
     readonly call: PreparedCall;
     readonly grant: Grant;
     readonly run: RunningRequest;
     readonly answer: CallAnswer;
-    /** What the caller has of the stream so far. */
+    /** How much of the stream the caller has received so far. */
     readonly stream: StreamState;
-    /** How long the upstream may take to its first byte, in milliseconds, where the call can go elsewhere. */
-    readonly patienceMs: number | undefined;
-    /** Names the call towards the queue's owner. */
+    /**
+     * Timeout for the upstream's first byte, in milliseconds; undefined when the call must not go to another upstream.
+     */
+    readonly firstByteTimeoutMs: number | undefined;
+    /** Id of the call's ticket at the queue's owner. */
     readonly ticketId: RequestId;
+    /** Tokens that one event of the stream stands for. */
     readonly tokensPerEvent: number;
 }
 
-/** An upstream's whole answer. */
+/** A complete answer of an upstream. */
 export interface BufferedAnswer {
     readonly status: number;
     readonly headers: HeaderList;
     readonly body: Uint8Array;
 }
 
-/** What came of an attempt. */
+/** Result of an attempt. */
 export type AttemptResult =
-    /** The caller has its whole answer, or all of it that there will be. */
+    /** The answer has been sent to the caller as far as the upstream will provide it. */
     | { readonly kind: "answered"; readonly status: number; }
     | {
         readonly kind: "ended";
         readonly end: AttemptEnd;
         readonly detail: string;
-        /** The upstream's own failure, to be passed on when nothing better comes. */
+        /** The upstream's failure answer, forwarded when no attempt succeeds. */
         readonly failure?: BufferedAnswer;
-        /** Another upstream has the address. */
+        /** Whether another upstream has the address. */
         readonly misdirected?: boolean;
-        /** The upstream's end of the connection closed or reset it while the call was there. */
+        /** Whether the upstream closed or reset the connection during the attempt. */
         readonly connectionEnded?: boolean;
     };
--- a/src/passthrough/callAnswer/index.ts
+++ b/src/passthrough/callAnswer/index.ts
@@ -3,32 +3,32 @@
 import { CallDialect } from "../callDialect/index.js";
 import { CallError } from "../callError/index.js";
 
-/** What an answer is written with. */
+/** Options of `CallAnswer`. */
 export interface CallAnswerOptions {
     readonly res: HttpResponse;
     readonly dialect: CallDialect;
-    /** The caller should open a new connection for its next request. */
+    /** Whether the answer closes its connection, so that the caller opens a new one for its next request. */
     readonly isDraining: () => boolean;
 }
 
-/** The one answer of a call, from its head to its end. */
+/** Writes the answer of a call to the caller, from its head to its end. */
 export class CallAnswer {
     private status: number | undefined;
 
     constructor(private readonly options: CallAnswerOptions) {}
 
-    /** The status that has gone out; undefined before the head. */
-    get startedWith(): number | undefined {
+    /** The status sent to the caller; undefined before the head. */
+    get sentStatus(): number | undefined {
         return this.status;
     }
 
-    start(status: number, headers: HeaderList): void {
+    sendHead(status: number, headers: HeaderList): void {
         const { res, isDraining } = this.options;
         this.status = status;
         res.head(status, isDraining() ? [...headers, ["connection", "close"]] : headers);
     }
 
-    /** Settles when the caller can take more. */
+    /** Writes part of the body. Settles when the caller can receive more. */
     write(bytes: Uint8Array): Promise<void> {
         return this.options.res.write(bytes);
     }
@@ -37,18 +37,17 @@
         this.options.res.end(bytes);
     }
 
-    /** Sends the whole answer at once. */
-    send(status: number, headers: HeaderList, body: Uint8Array): void {
-        this.start(status, headers);
+    /** Sends a complete answer. */
+    sendWhole(status: number, headers: HeaderList, body: Uint8Array): void {
+        this.sendHead(status, headers);
         this.end(body);
     }
 
     /**
-     * Ends the call with an answer of our own.
-     *
-     * Guards against part of an answer that passes for the whole: where the head is out, the connection is cut in the middle.
+     * Ends the call with an error answer of this system. If the head has been sent, the connection is reset instead, so
+     * that the caller cannot mistake a truncated answer for a complete one.
      */
-    fail(err: CallError, request: RequestId | undefined): void {
+    sendError(err: CallError, request: RequestId | undefined): void {
         const { res, dialect } = this.options;
         if (this.status !== undefined) {
             res.reset();
@@ -56,6 +55,6 @@
         }
         const { status, headers, body } = dialect.writeError(err, request);
         const bytes = Buffer.from(body);
-        this.send(status, [...headers, ["content-length", String(bytes.length)]], bytes);
+        this.sendWhole(status, [...headers, ["content-length", String(bytes.length)]], bytes);
     }
 }
--- a/src/passthrough/callContext/index.ts
+++ b/src/passthrough/callContext/index.ts
@@ -11,33 +11,34 @@
 import { CallDialect } from "../callDialect/index.js";
 import { RepeatBudget } from "../repeatBudget/index.js";
 
-/** The fleet document as an entry knows it. */
+/** An entry's view of the fleet document. */
 export abstract class RouteView {
-    /** True while keys may be accepted: the document is at most a few seconds behind. */
+    /** Whether keys may be accepted: the document is at most a few seconds out of date. */
     abstract isFresh(): boolean;
 
-    /** The newest document heard of; undefined before the first. */
+    /** Returns the newest received document; undefined before the first. */
     abstract routes(): RouteTable | undefined;
 
     /**
-     * Waits for the first document of this process's life.
+     * Waits for the first document since the start of the process.
      *
-     * @param limitMs - How long to wait, in milliseconds.
-     * @param signal - Ends the wait.
+     * @param limitMs - Maximum wait, in milliseconds.
+     * @param signal - Aborts the wait.
      */
     abstract whenKnown(limitMs: number, signal: AbortSignal): Promise<void>;
 
-    /** How many entries there are, this one counted. */
+    /** Returns the number of entries, including this one. */
     abstract entryCount(): number;
 }
 
-/** What the tasks that answer routed calls work with. */
+/** Dependencies of the functions that handle routed calls. */
 export interface CallContext {
     readonly clock: Clock;
     readonly random: Random;
     readonly http: Http;
     readonly logger: Logger;
     readonly metrics: Metrics;
+    /** The host of this process. */
     readonly self: HostId;
     readonly zone: ZoneId;
     readonly dialect: CallDialect;
@@ -48,8 +49,8 @@
     readonly crashes: CrashGuard;
     readonly starts: StartMeter;
     readonly time: TrueTime;
-    /** True when this entry has heard that an upstream leaves or is gone, or that its zone is evacuated. */
+    /** Whether this entry has received that an upstream is leaving or gone, or that its zone is evacuated. */
     readonly mayNotSendTo: (upstream: UpstreamId) => boolean;
-    /** True once a planned stop has begun: each answer closes its connection. */
+    /** Whether a planned stop has begun: each answer then closes its connection. */
     readonly isDraining: () => boolean;
 }
--- a/src/passthrough/callDialect/index.ts
+++ b/src/passthrough/callDialect/index.ts
@@ -4,98 +4,104 @@
 import { PromptPart } from "../../upstream/index.js";
 import { CallError } from "../callError/index.js";
 
-/** What a call's head says, beside method and path. */
+/** What a caller's request head contains, besides method and path. */
 export interface CallHead {
-    /** The caller's id of this attempt; goes to the upstream unchanged. */
+    /** The caller's id of this attempt, passed to the upstream unchanged. */
     readonly request: RequestId;
-    /** The key that came with it. */
+    /** The API key sent with the call. */
     readonly key: string | undefined;
-    /** How long the caller waits from when it sent the call, in milliseconds. */
+    /** Time limit of the caller, counted from when it sent the call, in milliseconds. */
     readonly deadlineMs: number | undefined;
     readonly model: string | undefined;
     readonly promptTokens: number;
-    /** The most tokens that the answer may have; 0 where nothing is said. */
+    /** Maximum length of the answer, in tokens; 0 when not stated. */
     readonly maxTokens: number;
-    /** The caller's own guess of the answer's tokens; often far off. */
+    /** The caller's estimate of the answer's length, in tokens; often far off. */
     readonly hintedTokens: number | undefined;
-    /** The prompt's parts, in order. */
+    /** The parts of the prompt, in order. */
     readonly parts: readonly PromptPart[];
-    /** The caller has the stream up to this event. */
+    /** The last event that the caller has received, when it resumes a stream. */
     readonly lastEventId: string | undefined;
-    /** What goes on to the upstream as it came: no key, nothing of one connection, nothing that is ours to set. */
+    /**
+     * Headers forwarded to the upstream unchanged: without the key, hop-by-hop headers and headers that this system
+     * sets.
+     */
     readonly headers: HeaderList;
 }
 
-/** What the system says to the upstream with a call. */
+/** Fields that this system adds to a call for the upstream. */
 export interface SendMarks {
-    /** Any other upstream at the address must refuse the call. */
+    /** The intended upstream; any other one at the address must refuse the call. */
     readonly upstream: UpstreamId;
     /** Undefined where the route needs no key. */
     readonly workspace: WorkspaceId | undefined;
-    /** How long the upstream may work, in milliseconds. */
+    /** Time limit for the upstream, in milliseconds. */
     readonly deadlineMs: number;
     /** 0 is the most urgent. */
     readonly priority: number;
-    /** The stream should go on after this event. */
+    /** The event after which the upstream should resume the stream. */
     readonly lastEventId: string | undefined;
-    /** From where the upstream should fetch parts of the prompt before it reads the rest. */
+    /** The upstream from which to fetch cached parts of the prompt before the prefill of the rest. */
     readonly fetchFrom: Address | undefined;
 }
 
-/** What an upstream's head says. */
+/** What the head of an upstream's answer contains. */
 export interface ReplyHead {
-    /** Which call it answers; undefined where it does not say. */
+    /** The id of the call that it answers; undefined when not stated. */
     readonly request: string | undefined;
-    /** The upstream says that it has not run the call and will not. */
+    /** Whether the upstream states that it has not run the call and will not. */
     readonly refused: boolean;
-    /** Another upstream has the address now. */
+    /** Whether another upstream has the address now. */
     readonly misdirected: boolean;
-    /** It bears the mark of an upstream's own answer. */
+    /** Whether it has the header that marks answers made by an upstream itself. */
     readonly isSigned: boolean;
-    /** How many requests a second the upstream takes from all hosts together; undefined where it names no limit, NaN where it can't be read. */
+    /**
+     * Requests per second that the upstream accepts from all hosts together; undefined when it states no limit, NaN
+     * when the limit is unreadable.
+     */
     readonly requestLimit: number | undefined;
-    /** What goes on to the caller as it came. */
+    /** Headers forwarded to the caller unchanged. */
     readonly headers: HeaderList;
 }
 
-/** An answer of our own, as callers get it. */
+/** An error answer of this system, as sent to callers. */
 export interface ErrorReply {
     readonly status: number;
     readonly headers: HeaderList;
     readonly body: string;
 }
 
-/** A question to an upstream, beside the calls. */
+/** A request to an upstream that is not a call. */
 export interface UpstreamQuery {
     readonly method: string;
     readonly path: string;
     readonly headers: HeaderList;
 }
 
-/** An upstream's list of what it holds that can't be read. */
+/** The error for an unreadable list of cached prompt parts of an upstream. */
 export class CacheListError extends Error {}
 
-/** The words that callers and upstreams use for what the system needs to know of a call. */
+/** Maps calls to and from HTTP heads: the header names and error bodies that callers and upstreams use. */
 export abstract class CallDialect {
-    /** Reads a caller's request. */
+    /** Parses the head of a caller's request. */
     abstract readHead(req: HttpRequest): Either<CallError, CallHead>;
 
-    /** Gives the headers for the upstream: those that go on, and the system's own. */
+    /** Returns the headers for the upstream: the forwarded ones and those of this system. */
     abstract writeHead(head: CallHead, marks: SendMarks): HeaderList;
 
-    /** Reads an upstream's answer. */
+    /** Parses the head of an upstream's answer. */
     abstract readReply(reply: HttpReply): ReplyHead;
 
     /**
-     * Writes an answer of our own.
+     * Creates an error answer of this system.
      *
-     * @param request - The caller's id of the attempt, where it could be read.
+     * @param request - The caller's id of the attempt, when it could be read.
      */
     abstract writeError(err: CallError, request: RequestId | undefined): ErrorReply;
 
-    /** Asks an engine which parts of prompts it holds. */
+    /** Creates the request for an engine's list of cached prompt parts. */
     abstract writeCacheQuery(upstream: UpstreamId): UpstreamQuery;
 
-    /** Reads the engine's answer to that. */
+    /** Parses the engine's answer to the cache query. */
     abstract readCacheList(status: number, body: string): Either<CacheListError, PromptPart[]>;
 }
--- a/src/passthrough/callError/index.ts
+++ b/src/passthrough/callError/index.ts
@@ -1,5 +1,6 @@
 /**
- * Why a call gets an answer of our own. `notRun` ones are promises: no upstream has run, nor will run, the call.
+ * Why this system answers a call with an error. Kinds with `notRun` guarantee that no upstream has run, or will run,
+ * the call.
  */
 export type CallErrorKind =
     | "malformed"
@@ -19,11 +20,11 @@
 
 interface ErrorSpec {
     readonly status: number;
-    /** The caller may count on it that the call has not run. */
+    /** Whether the caller can rely on the call not having run. */
     readonly notRun: boolean;
 }
 
-const SPECS: Readonly<Record<CallErrorKind, ErrorSpec>> = {
+const ERROR_SPECS: Readonly<Record<CallErrorKind, ErrorSpec>> = {
     "malformed": { status: 400, notRun: true },
     "no-route": { status: 404, notRun: true },
     "key-missing": { status: 401, notRun: true },
@@ -40,22 +41,22 @@
     "upstream-lost": { status: 502, notRun: false },
 };
 
-/** A routed call that this system answers itself. */
+/** An error that this system sends as the answer of a routed call. */
 export class CallError extends Error {
     /**
-     * @param kind - What went wrong.
-     * @param detail - For people; holds no key.
-     * @param retryAfterMs - When to come back, in milliseconds, where that can help.
+     * @param kind - Selects the status and `notRun`.
+     * @param detail - A message for people; contains no key.
+     * @param retryAfterMs - Delay before a retry, in milliseconds, when a retry can help.
      */
     constructor(readonly kind: CallErrorKind, detail: string, readonly retryAfterMs?: number) {
         super(detail);
     }
 
     get status(): number {
-        return SPECS[this.kind].status;
+        return ERROR_SPECS[this.kind].status;
     }
 
     get notRun(): boolean {
-        return SPECS[this.kind].notRun;
+        return ERROR_SPECS[this.kind].notRun;
     }
 }
--- a/src/passthrough/endToEndHeaders/index.ts
+++ b/src/passthrough/endToEndHeaders/index.ts
@@ -1,7 +1,7 @@
 import { HeaderList } from "../../ports/index.js";
 
-/** Headers that concern one connection, and must not be passed on. */
-const HOP_BY_HOP: ReadonlySet<string> = new Set([
+/** Hop-by-hop headers, which must not be forwarded. */
+const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -15,18 +15,23 @@
 ]);
 
 /**
- * Leaves out what concerns one connection: the headers that always do, and those that `Connection` names.
+ * Removes hop-by-hop headers: the standard ones and those listed in `Connection`.
  *
- * @param headers - As they came, names in lower case.
- * @param dropped - Further names to leave out, in lower case.
+ * @param headers - The received headers, names in lower case.
+ * @param dropped - Further names to remove, in lower case.
+ * @returns The remaining headers, in their order.
  * @example
  * const forwarded = endToEndHeaders(req.headers, new Set(["authorization"]));
  */
 export function endToEndHeaders(headers: HeaderList, dropped: ReadonlySet<string>): HeaderList {
-    const named = headers.filter(([name]) => name === "connection").flatMap(([, value]) => splitTokens(value));
-    return headers.filter(([name]) => !HOP_BY_HOP.has(name) && !dropped.has(name) && !named.includes(name));
+    const connectionHeaders = headers.filter(([name]) => name === "connection").flatMap(([, value]) =>
+        splitList(value)
+    );
+    return headers.filter(([name]) =>
+        !HOP_BY_HOP_HEADERS.has(name) && !dropped.has(name) && !connectionHeaders.includes(name)
+    );
 }
 
-function splitTokens(value: string): string[] {
+function splitList(value: string): string[] {
     return value.split(",").map(token => token.trim().toLowerCase());
 }
--- a/src/passthrough/endToEndHeaders/test.ts
+++ b/src/passthrough/endToEndHeaders/test.ts
@@ -3,7 +3,7 @@
 import { endToEndHeaders } from "./index.js";
 
 describe("endToEndHeaders", () => {
-    it("leaves out what concerns one connection, and keeps the rest in order", () => {
+    it("removes hop-by-hop headers and keeps the rest in order", () => {
         const headers = [
             ["host", "shop.example"],
             ["connection", "close, X-Hop"],
@@ -19,7 +19,7 @@
         ]]);
     });
 
-    it("leaves out what is named", () => {
+    it("removes the given names", () => {
         assert.deepEqual(endToEndHeaders([["authorization", "x"]], new Set(["authorization"])), []);
     });
 });
--- a/src/passthrough/eventScanner/index.ts
+++ b/src/passthrough/eventScanner/index.ts
@@ -3,38 +3,38 @@
 const EMPTY = Buffer.alloc(0);
 const ID_FIELD = /^id: ?(.*)$/m;
 
-/** Whole events, as the upstream wrote them. */
+/** Complete events, byte for byte as the upstream sent them. */
 export interface ScannedEvents {
     readonly bytes: Uint8Array;
     readonly count: number;
-    /** The id of the last of them that has one. */
+    /** The id of the last event that has one. */
     readonly lastId: string | undefined;
 }
 
 /**
- * Cuts a stream of server-sent events into whole events.
+ * Splits a stream of server-sent events into complete events.
  *
- * Guards against a stream that is joined in the middle of an event: an upstream may break off anywhere, and the next one begins
- * with a whole event. What comes after the last whole event is held back until its end has come.
+ * Prevents streams that are joined in the middle of an event: an upstream may break off anywhere, and the next one
+ * begins with a complete event. Bytes after the last complete event are held back until its end arrives.
  *
  * @example
  * const events = scanner.push(chunk);
  * if (events.count > 0) await res.write(events.bytes);
  */
 export class EventScanner {
-    private tail: Buffer = EMPTY;
+    private partialEvent: Buffer = EMPTY;
 
-    /** Whether part of an event is held back. */
-    get hasTail(): boolean {
-        return this.tail.length > 0;
+    /** Whether an incomplete event is held back. */
+    get hasPartialEvent(): boolean {
+        return this.partialEvent.length > 0;
     }
 
-    /** Takes bytes in, and gives the events that are whole by now. */
+    /** Adds received bytes and returns the events that are complete now. */
     push(chunk: Uint8Array): ScannedEvents {
-        const bytes = this.tail.length === 0
+        const bytes = this.partialEvent.length === 0
             ? Buffer.from(chunk.buffer, chunk.byteOffset, chunk.length)
             : Buffer.concat([
-                this.tail,
+                this.partialEvent,
                 chunk,
             ]);
         let start = 0;
@@ -46,26 +46,26 @@
             start = end;
             count++;
         }
-        this.tail = start === bytes.length ? EMPTY : Buffer.from(bytes.subarray(start));
+        this.partialEvent = start === bytes.length ? EMPTY : Buffer.from(bytes.subarray(start));
         return { bytes: bytes.subarray(0, start), count, lastId };
     }
 
-    /** Gives up what is held back, for a stream whose last event has no empty line behind it. */
-    takeTail(): Uint8Array {
-        const { tail } = this;
-        this.tail = EMPTY;
-        return tail;
+    /** Removes and returns the held-back bytes, for a stream whose last event has no empty line after it. */
+    takePartialEvent(): Uint8Array {
+        const { partialEvent } = this;
+        this.partialEvent = EMPTY;
+        return partialEvent;
     }
 }
 
-/** Where the event that begins at `start` ends, behind its empty line; -1 when it is not whole. */
+/** Returns the offset after the empty line that ends the event at `start`; -1 when the event is incomplete. */
 function findEventEnd(bytes: Buffer, start: number): number {
     let lineStart = start;
     for (;;) {
-        const at = bytes.indexOf(LF, lineStart);
-        if (at < 0) return -1;
-        const lineEnd = at > lineStart && bytes[at - 1] === CR ? at - 1 : at;
-        if (lineEnd === lineStart && lineStart > start) return at + 1;
-        lineStart = at + 1;
+        const lineFeedAt = bytes.indexOf(LF, lineStart);
+        if (lineFeedAt < 0) return -1;
+        const lineEnd = lineFeedAt > lineStart && bytes[lineFeedAt - 1] === CR ? lineFeedAt - 1 : lineFeedAt;
+        if (lineEnd === lineStart && lineStart > start) return lineFeedAt + 1;
+        lineStart = lineFeedAt + 1;
     }
 }
--- a/src/passthrough/eventScanner/test.ts
+++ b/src/passthrough/eventScanner/test.ts
@@ -8,20 +8,20 @@
 }
 
 describe("EventScanner", () => {
-    it("gives whole events and holds the rest back", () => {
+    it("returns complete events and holds the rest back", () => {
         const scanner = new EventScanner();
         assert.deepEqual(scan(scanner, "id: 1\ndata: a\n\nid: 2\nda"), ["id: 1\ndata: a\n\n", 1, "1"]);
         assert.deepEqual(scan(scanner, "ta: b\n"), ["", 0, undefined]);
         assert.deepEqual(scan(scanner, "\nid: 3\ndata: c\n\n"), ["id: 2\ndata: b\n\nid: 3\ndata: c\n\n", 2, "3"]);
-        assert.equal(scanner.hasTail, false);
+        assert.equal(scanner.hasPartialEvent, false);
     });
 
-    it("knows line ends of both kinds", () => {
+    it("accepts both kinds of line ends", () => {
         const scanner = new EventScanner();
         assert.deepEqual(scan(scanner, "id:7\r\ndata: a\r\n\r\n"), ["id:7\r\ndata: a\r\n\r\n", 1, "7"]);
     });
 
-    it("gives the same for any cut of the bytes", () => {
+    it("returns the same events however the bytes are split", () => {
         const text = "id: 1\ndata: a\n\nevent: x\nid: 2\ndata: b\ndata: c\n\n: comment\n\nid: 3\n\n";
         for (let cut = 0; cut <= text.length; cut++) {
             const scanner = new EventScanner();
@@ -32,10 +32,10 @@
         }
     });
 
-    it("gives up what it held back", () => {
+    it("returns the held-back bytes", () => {
         const scanner = new EventScanner();
         scan(scanner, "data: a\n");
-        assert.equal(Buffer.from(scanner.takeTail()).toString(), "data: a\n");
-        assert.equal(scanner.hasTail, false);
+        assert.equal(Buffer.from(scanner.takePartialEvent()).toString(), "data: a\n");
+        assert.equal(scanner.hasPartialEvent, false);
     });
 });
--- a/src/passthrough/index.ts
+++ b/src/passthrough/index.ts
@@ -1,4 +1,6 @@
-/** Calls of any path and body, routed by the fleet document and passed through to upstreams unchanged. */
+/**
+ * Routed calls: requests of any path and body, routed by the fleet document and passed through to upstreams unchanged.
+ */
 export * from "./callContext/index.js";
 export * from "./callDialect/index.js";
 export * from "./callError/index.js";
--- a/src/passthrough/nextStep/index.ts
+++ b/src/passthrough/nextStep/index.ts
@@ -2,56 +2,59 @@
 
 /** How an attempt at one upstream ended without a final answer. */
 export type AttemptEnd =
-    /** No byte can have left. */
+    /** No byte can have been sent. */
     | "not-sent"
-    /** The upstream says that it has not run the call. */
+    /** The upstream states that it has not run the call. */
     | "refused"
-    /** It may have run, and there is no answer that can be used. */
+    /** It may have run, and there is no usable answer. */
     | "lost"
     /** The upstream ran it and answered with a failure. */
     | "failed"
-    /** A stream broke off after events that the caller has. */
+    /** A stream broke off after events that the caller has received. */
     | "broken";
 
-/** What is known when an attempt has ended. */
-export interface AttemptReview {
+/** State of a call after an attempt has ended. */
+export interface AttemptSummary {
     readonly end: AttemptEnd;
     readonly kind: CallKind;
     readonly resumable: boolean;
-    /** How many upstreams have, or may have, begun to work on the call. */
+    /** Number of upstreams that have, or may have, begun to work on the call. */
     readonly begun: number;
-    /** How many may. */
+    /** Maximum number of upstreams that may begin to work on it. */
     readonly attempts: number;
-    /** How many times the call was sent or tried to be sent, this one counted. */
+    /** Number of times the call was sent or could not be sent, including this attempt. */
     readonly tries: number;
-    /** Takes leave of the budget for a repeat; asked only where nothing else speaks against it. */
-    readonly takeRepeat: () => boolean;
+    /** Takes one repeat from the budget; called only when nothing else prevents the repeat. */
+    readonly tryTakeRepeat: () => boolean;
 }
 
-/** `again`: at another upstream. `give-up`: the caller gets its final answer now. */
+/** `again`: try another upstream. `give-up`: send the caller its final answer now. */
 export type NextStep = "again" | "give-up";
 
-/** A call that finds no upstream in so many tries will not in the next ones: its pool is down. */
-const MOST_TRIES = 5;
+/**
+ * Maximum number of tries: a call that has reached no upstream by then will not reach one later, since its pool is
+ * down.
+ */
+const MAX_TRIES = 5;
 
 /**
- * Decides whether a call goes to another upstream.
+ * Decides whether a call is sent to another upstream.
  *
- * Guards against an order that runs twice: a call that runs once at most is sent again only where the last attempt can't have run. An
- * upstream's own word counts as such; a broken connection does not.
+ * Prevents running a call twice that may run at most once: such a call is sent again only if the last attempt cannot
+ * have run it. A statement of the upstream counts as proof; a broken connection does not.
  *
  * @example
- * if (chooseNextStep(review) === "give-up") return answer.fail(err);
+ * if (chooseNextStep(summary) === "give-up") return answer.sendError(err, request);
  */
-export function chooseNextStep(review: AttemptReview): NextStep {
-    const { end, tries, takeRepeat } = review;
-    if (tries >= MOST_TRIES) return "give-up";
+export function chooseNextStep(summary: AttemptSummary): NextStep {
+    const { end, tries, tryTakeRepeat } = summary;
+    if (tries >= MAX_TRIES) return "give-up";
     if (end === "not-sent") return "again";
-    if (end !== "refused" && !mayRepeat(review)) return "give-up";
-    return takeRepeat() ? "again" : "give-up";
+    if (end !== "refused" && !mayRepeat(summary)) return "give-up";
+    return tryTakeRepeat() ? "again" : "give-up";
 }
 
-function mayRepeat({ end, kind, resumable, begun, attempts }: AttemptReview): boolean {
+function mayRepeat({ end, kind, resumable, begun, attempts }: AttemptSummary): boolean {
     if (begun >= attempts) return false;
     if (kind === "once") return false;
     if (kind === "stream") return resumable;
--- a/src/passthrough/ownDialect/index.ts
+++ b/src/passthrough/ownDialect/index.ts
@@ -17,12 +17,12 @@
 import { endToEndHeaders } from "../endToEndHeaders/index.js";
 import { readRequestLimit } from "../readRequestLimit/index.js";
 
-/** The product's own headers on routed calls. */
+/** Sequoiamux's headers on routed calls. */
 export const CALL_HEADERS = {
     request: "x-sequoiamux-request",
     deadlineMs: "x-sequoiamux-deadline-ms",
     model: "x-sequoiamux-model",
-    /** Prompt tokens and the most tokens of the answer, separated by a comma. */
+    /** Prompt tokens and the maximum length of the answer in tokens, separated by a comma. */
     tokens: "x-sequoiamux-tokens",
     /** The prompt's parts, `id:tokens` each, separated by commas. */
     parts: "x-sequoiamux-parts",
@@ -30,23 +30,23 @@
     workspace: "x-sequoiamux-workspace",
     upstream: "x-sequoiamux-upstream",
     priority: "x-sequoiamux-priority",
-    /** `IP:port` of an upstream from which parts of the prompt should be fetched. */
+    /** `IP:port` of an upstream from which to fetch cached parts of the prompt. */
     fetchFrom: "x-sequoiamux-fetch-from",
-    /** An upstream's word that it has not run the call and will not. */
+    /** Set by an upstream that has not run the call and will not. */
     notRun: "x-sequoiamux-not-run",
-    /** On each answer that an upstream itself made. */
+    /** Set on each answer that an upstream itself made. */
     signature: "x-sequoiamux-signature",
-    /** How many requests a second the upstream takes from all hosts together, for as long as its answers say so. */
+    /** Requests per second that the upstream accepts from all hosts together, as long as its answers state it. */
     requestLimit: REQUEST_LIMIT_HEADER,
 } as const;
 
-/** Where an engine lists the parts of prompts that it holds. */
+/** Path of an engine's list of cached prompt parts. */
 export const CACHE_PATH = "/sequoiamux/cache";
 const cacheListSchema = z.looseObject({
     parts: z.array(z.looseObject({ id: z.string(), tokens: z.number().min(0) })),
 });
 
-const SET_BY_SYSTEM: ReadonlySet<string> = new Set([
+const HEADERS_NOT_FORWARDED: ReadonlySet<string> = new Set([
     "authorization",
     "content-length",
     CALL_HEADERS.deadlineMs,
@@ -56,13 +56,13 @@
     CALL_HEADERS.priority,
     CALL_HEADERS.fetchFrom,
 ]);
-const NOTHING: ReadonlySet<string> = new Set();
+const NO_HEADERS: ReadonlySet<string> = new Set();
 const STATUS_OK = 200;
 const STATUS_MISDIRECTED = 421;
 const MS_PER_SECOND = 1_000;
-const BEARER = /^bearer +(\S+)$/i;
+const BEARER_PATTERN = /^bearer +(\S+)$/i;
 
-/** The product's own words for routed calls: keys as bearer tokens, and headers that begin with `x-sequoiamux-`. */
+/** Sequoiamux's own dialect of routed calls: keys as bearer tokens, and headers that begin with `x-sequoiamux-`. */
 export class OwnDialect extends CallDialect {
     readHead({ headers }: HttpRequest): Either<CallError, CallHead> {
         const request = findHeader(headers, CALL_HEADERS.request);
@@ -75,13 +75,13 @@
             promptTokens,
             maxTokens,
             request: request as RequestId,
-            key: BEARER.exec(findHeader(headers, "authorization") ?? "")?.[1],
+            key: BEARER_PATTERN.exec(findHeader(headers, "authorization") ?? "")?.[1],
             deadlineMs: deadline === undefined ? undefined : Number(deadline),
             model: findHeader(headers, CALL_HEADERS.model),
             hintedTokens: undefined,
             parts: readParts(findHeader(headers, CALL_HEADERS.parts)),
             lastEventId: findHeader(headers, CALL_HEADERS.lastEventId),
-            headers: endToEndHeaders(headers, SET_BY_SYSTEM),
+            headers: endToEndHeaders(headers, HEADERS_NOT_FORWARDED),
         });
     }
 
@@ -105,7 +105,7 @@
             misdirected: status === STATUS_MISDIRECTED,
             isSigned: findHeader(headers, CALL_HEADERS.signature) !== undefined,
             requestLimit: readRequestLimit(findHeader(headers, CALL_HEADERS.requestLimit)),
-            headers: endToEndHeaders(headers, NOTHING),
+            headers: endToEndHeaders(headers, NO_HEADERS),
         };
     }
 
--- a/src/passthrough/prepareCall/index.ts
+++ b/src/passthrough/prepareCall/index.ts
@@ -8,28 +8,28 @@
 import { CallError, CallErrorKind } from "../callError/index.js";
 
 /**
- * When a caller should come back after the entry had no fresh document, in milliseconds: a lost holder of the control lease is
- * replaced within about two seconds. Scattered, so that not all come back in one moment.
+ * Retry delay of calls refused for lack of a fresh document, in milliseconds: a lost holder of the control lease is
+ * replaced within about two seconds. The jitter spreads the retries.
  */
-const NO_VIEW_RETRY_MS = 1_200;
-const NO_VIEW_SPREAD_MS = 800;
+const STALE_VIEW_RETRY_MS = 1_200;
+const STALE_VIEW_JITTER_MS = 800;
 
 /**
- * How long a call may wait for the first document after a start: a share of its caller's time, and so many milliseconds at most.
- * Where all processes have restarted, the control processes elect a holder within a second. A caller that leaves a host for lack
- * of an answer does so after a third of its time.
+ * Maximum wait of a call for the first document after a start: a share of the caller's time limit, and an absolute
+ * bound in milliseconds. When all processes have restarted, the control processes elect a holder within a second. A
+ * caller that leaves a host without an answer does so after a third of its time limit.
  */
-const FIRST_DOCUMENT_SHARE = 1 / 3;
-const FIRST_DOCUMENT_MS = 1_200;
+const FIRST_DOCUMENT_WAIT_RATIO = 1 / 3;
+const MAX_FIRST_DOCUMENT_WAIT_MS = 1_200;
 
-/** A routed call that was found good. */
+/** A routed call that has passed all checks and can be sent. */
 export interface PreparedCall {
     readonly head: CallHead;
     readonly method: string;
-    /** Path and query, as sent. */
+    /** Path and query, as received. */
     readonly path: string;
     readonly body: Uint8Array;
-    /** Names the call by its content. */
+    /** Hash of the call's content. */
     readonly fingerprint: RequestFingerprint;
     readonly route: Route;
     readonly pool: PoolId;
@@ -37,21 +37,21 @@
     readonly workspace: WorkspaceId | undefined;
     /** 0 is the highest. */
     readonly tier: number;
-    /** Monotonic, in milliseconds. */
+    /** Monotonic time of its arrival, in milliseconds. */
     readonly arrivedAt: number;
-    /** When its final answer is due, whatever has become of it; monotonic, in milliseconds. */
+    /** Monotonic time at which its final answer is due in any case, in milliseconds. */
     readonly deadlineAt: number;
 }
 
 type Caller = Pick<PreparedCall, "workspace" | "tier">;
 
 /**
- * Reads and judges a call: its route, its key, its body.
+ * Reads and checks a call: its route, its key and its body.
  *
- * Guards against a withdrawn key at an entry that has lost touch with the control processes: past the freshness lease a call that needs a
- * key is refused. One that needs none goes on with the document that is known.
+ * Prevents the use of a withdrawn key at an entry that is cut off from the control processes: beyond the freshness
+ * lease, calls that need a key are refused. Calls that need none continue with the last received document.
  *
- * @param readHead - What the dialect made of the request's head.
+ * @param readHead - The request head as parsed by the dialect.
  */
 export async function prepareCall(
     ctx: CallContext,
@@ -60,8 +60,8 @@
 ): Promise<Either<CallError, PreparedCall>> {
     const arrivedAt = ctx.clock.monotonic();
     const routes = ctx.view.routes() ?? await awaitFirstDocument(ctx, req, readHead);
-    if (!routes) return Left(staleView(ctx, "this entry has no fleet document yet"));
-    if (sizeOfHeaders(req) > routes.limits.headerBytes) {
+    if (!routes) return Left(staleViewError(ctx, "this entry has no fleet document yet"));
+    if (headerSizeBytes(req) > routes.limits.headerBytes) {
         return Left(new CallError("header-too-large", `headers take more than ${routes.limits.headerBytes} bytes`));
     }
     const read = readHead.chain(head =>
@@ -73,30 +73,31 @@
     const { head, route, caller } = read.unsafeCoerce();
     const body = await req.body(routes.limits.bodyBytes);
     const limitMs = Math.min(route.timeoutMs, head.deadlineMs ?? Number.POSITIVE_INFINITY);
-    const prepared = body.mapLeft(describeBodyError).map((bytes): PreparedCall => ({
+    const prepared = body.mapLeft(toCallError).map((bytes): PreparedCall => ({
         ...caller,
         head,
         route,
         method: req.method,
         path: req.path,
         body: bytes,
-        fingerprint: fingerprintRequest({ ...caller, ...describeTarget(req), body: bytes }),
+        fingerprint: fingerprintRequest({ ...caller, ...requestTarget(req), body: bytes }),
         pool: drawTarget(route, ctx.random),
         arrivedAt,
         deadlineAt: arrivedAt + limitMs,
     }));
     return prepared.chain(call => {
-        const err = findQuarantine(ctx, call);
+        const err = checkQuarantine(ctx, call);
         return err ? Left(err) : Right(call);
     });
 }
 
 /**
- * Holds a call that came before the first document.
+ * Holds a call that arrived before the first document, and returns the document.
  *
- * Answers a restart of all processes: callers come back as soon as a connection is accepted again, most of them for the last time, and
- * a refusal a moment before the document arrives would leave them with nothing. An entry that once had a document and has lost control
- * refuses at once instead, since the caller's next connection may reach another host with a fresh view.
+ * After a restart of all processes, callers reconnect as soon as a connection is accepted, most of them for the last
+ * time; a refusal just before the document arrives would leave them without an answer. An entry that had a document and
+ * has lost the control processes refuses at once instead, since the caller's next connection may reach another host
+ * with a fresh view.
  */
 async function awaitFirstDocument(
     ctx: CallContext,
@@ -105,40 +106,45 @@
 ): Promise<RouteTable | undefined> {
     if (ctx.isDraining()) return undefined;
     const deadlineMs = readHead.map(head => head.deadlineMs).toMaybe().extract();
-    const limitMs = Math.min(FIRST_DOCUMENT_MS, FIRST_DOCUMENT_SHARE * (deadlineMs ?? Number.POSITIVE_INFINITY));
+    const limitMs = Math.min(
+        MAX_FIRST_DOCUMENT_WAIT_MS,
+        FIRST_DOCUMENT_WAIT_RATIO * (deadlineMs ?? Number.POSITIVE_INFINITY),
+    );
     await ctx.view.whenKnown(limitMs, req.closed);
     return ctx.view.routes();
 }
 
 /**
- * Judges the key once more, in the step that sends the call.
+ * Checks the key again immediately before the call is sent.
  *
  * @returns Why the call must not be sent; undefined when it may.
  */
 export function recheckKey(ctx: CallContext, { head, workspace }: PreparedCall): CallError | undefined {
     if (workspace === undefined) return undefined;
-    if (!ctx.view.isFresh()) return staleView(ctx);
+    if (!ctx.view.isFresh()) return staleViewError(ctx);
     const owner = ctx.view.routes()?.findOwner(head.key ?? "");
     return owner?.workspace === workspace ? undefined : new CallError("key-unknown", "the key was withdrawn");
 }
 
 /**
- * Judges whether a call's content is quarantined.
+ * Checks whether a call's content is quarantined.
  *
  * @returns Why the call must not be sent; undefined when it may.
  */
-export function findQuarantine(ctx: CallContext, { fingerprint }: PreparedCall): CallError | undefined {
-    const leftMs = ctx.crashes.quarantineLeftMs(fingerprint);
-    if (leftMs === undefined) return undefined;
+export function checkQuarantine(ctx: CallContext, { fingerprint }: PreparedCall): CallError | undefined {
+    const remainingMs = ctx.crashes.quarantineLeftMs(fingerprint);
+    if (remainingMs === undefined) return undefined;
     const detail = `requests with this content crash upstreams; it is quarantined as ${fingerprint}`;
-    return new CallError("quarantined", detail, leftMs);
+    return new CallError("quarantined", detail, remainingMs);
 }
 
 function findRoute(ctx: CallContext, routes: RouteTable, req: HttpRequest): Either<CallError, Route> {
     const route = routes.findRoute(findHeader(req.headers, "host") ?? "", req.path);
     if (route) return Right(route);
-    // A route that was added a moment ago may not be known here: only a fresh document can say that there is none.
-    return Left(ctx.view.isFresh() ? new CallError("no-route", "no route has this host and path") : staleView(ctx));
+    // A recently added route may not have been received yet: only a fresh document shows that there is none.
+    return Left(
+        ctx.view.isFresh() ? new CallError("no-route", "no route has this host and path") : staleViewError(ctx),
+    );
 }
 
 function identifyCaller(
@@ -148,34 +154,34 @@
     { key }: CallHead,
 ): Either<CallError, Caller> {
     if (route.keyless || !routes.asksForKeys) return Right({ workspace: undefined, tier: route.tier });
-    if (!ctx.view.isFresh()) return Left(staleView(ctx));
+    if (!ctx.view.isFresh()) return Left(staleViewError(ctx));
     if (key === undefined) return Left(new CallError("key-missing", "this route needs a key"));
     const owner = routes.findOwner(key);
     if (!owner) return Left(new CallError("key-unknown", "the key is unknown or was withdrawn"));
     return Right({ workspace: owner.workspace, tier: owner.tier ?? route.tier });
 }
 
-function staleView(
+function staleViewError(
     { random }: CallContext,
     detail = "this entry has lost touch with the control processes",
 ): CallError {
-    return new CallError("no-view", detail, NO_VIEW_RETRY_MS + random.between(0, NO_VIEW_SPREAD_MS));
+    return new CallError("no-view", detail, STALE_VIEW_RETRY_MS + random.between(0, STALE_VIEW_JITTER_MS));
 }
 
-function describeTarget({ method, path, headers }: HttpRequest): { method: string; path: string; host: string; } {
+function requestTarget({ method, path, headers }: HttpRequest): { method: string; path: string; host: string; } {
     return { method, path, host: findHeader(headers, "host") ?? "" };
 }
 
-function sizeOfHeaders({ headers }: HttpRequest): number {
+function headerSizeBytes({ headers }: HttpRequest): number {
     return headers.reduce((sum, [name, value]) => sum + name.length + value.length + ": \r\n".length, 0);
 }
 
-const BODY_FAULTS: Readonly<Record<BodyError["reason"], CallErrorKind>> = {
+const BODY_ERROR_KINDS: Readonly<Record<BodyError["reason"], CallErrorKind>> = {
     "too-large": "too-large",
     "timeout": "body-timeout",
     "closed": "body-timeout",
 };
 
-function describeBodyError({ reason }: BodyError): CallError {
-    return new CallError(BODY_FAULTS[reason], `the body could not be read: ${reason}`);
+function toCallError({ reason }: BodyError): CallError {
+    return new CallError(BODY_ERROR_KINDS[reason], `the body could not be read: ${reason}`);
 }
--- a/src/passthrough/readRequestLimit/index.ts
+++ b/src/passthrough/readRequestLimit/index.ts
@@ -1,8 +1,8 @@
 /**
- * Reads the limit that an upstream names in an answer.
+ * Parses the request rate limit that an upstream states in an answer.
  *
- * @param text - The header's value; undefined where there is none.
- * @returns Requests a second; undefined without a header, NaN where it is no number of requests.
+ * @param text - The header's value; undefined when it is missing.
+ * @returns Requests per second; undefined without a header, NaN when the value is not a number that is zero or more.
  * @example
  * readRequestLimit("1.3"); // 1.3
  */
--- a/src/passthrough/relayAnswer/index.ts
+++ b/src/passthrough/relayAnswer/index.ts
@@ -2,13 +2,16 @@
 import { Attempt, AttemptResult, BufferedAnswer } from "../attempt/index.js";
 import { CallContext } from "../callContext/index.js";
 import { ReplyHead } from "../callDialect/index.js";
-import { endByError } from "../endByError/index.js";
+import { endWithHttpError } from "../endWithHttpError/index.js";
 
-/** Answers up to this size are read whole before they are passed on, in bytes: one that breaks off can then be replaced. */
-const BUFFERED_BYTES = 256 * 1024;
-const FIRST_SERVER_ERROR = 500;
+/**
+ * Answers up to this size are buffered before they are forwarded, in bytes: one that breaks off can then be replaced by
+ * another upstream's.
+ */
+const MAX_BUFFERED_BYTES = 256 * 1024;
+const MIN_SERVER_ERROR_STATUS = 500;
 
-/** Passes on an answer that is no stream of events. */
+/** Forwards an answer that is not a stream of events. */
 export async function relayAnswer(
     ctx: CallContext,
     attempt: Attempt,
@@ -21,46 +24,46 @@
     try {
         for await (const chunk of reply.body) {
             size += chunk.length;
-            if (answer.startedWith !== undefined) {
+            if (answer.sentStatus !== undefined) {
                 await answer.write(chunk);
                 continue;
             }
             chunks.push(chunk);
-            if (size > BUFFERED_BYTES) await startLong(attempt, reply, headers, chunks);
+            if (size > MAX_BUFFERED_BYTES) await startUnbuffered(attempt, reply, headers, chunks);
         }
     }
     catch (err) {
-        return endByError("lost", err as HttpError);
+        return endWithHttpError("lost", err as HttpError);
     }
-    if (answer.startedWith !== undefined) {
+    if (answer.sentStatus !== undefined) {
         answer.end();
         return { kind: "answered", status: reply.status };
     }
-    return giveWhole(ctx, attempt, { status: reply.status, headers, body: Buffer.concat(chunks) });
+    return finishBuffered(ctx, attempt, { status: reply.status, headers, body: Buffer.concat(chunks) });
 }
 
-async function startLong(
+async function startUnbuffered(
     { answer, stream }: Attempt,
     { status }: HttpReply,
     headers: HeaderList,
     chunks: Uint8Array[],
 ): Promise<void> {
-    answer.start(status, headers);
-    stream.hasHead = true;
+    answer.sendHead(status, headers);
+    stream.isHeadSent = true;
     for (const chunk of chunks.splice(0)) await answer.write(chunk);
 }
 
-function giveWhole(ctx: CallContext, { call, answer, stream }: Attempt, whole: BufferedAnswer): AttemptResult {
-    const { status } = whole;
-    const isFailure = status >= FIRST_SERVER_ERROR;
-    if (isFailure) return { kind: "ended", end: "failed", detail: `the upstream answers ${status}`, failure: whole };
+function finishBuffered(ctx: CallContext, { call, answer, stream }: Attempt, buffered: BufferedAnswer): AttemptResult {
+    const { status } = buffered;
+    const isFailure = status >= MIN_SERVER_ERROR_STATUS;
+    if (isFailure) return { kind: "ended", end: "failed", detail: `the upstream answers ${status}`, failure: buffered };
     stream.firstEventMs ??= ctx.clock.monotonic() - call.arrivedAt;
-    sendWhole(answer, whole);
+    sendBuffered(answer, buffered);
     return { kind: "answered", status };
 }
 
-/** Gives a whole answer to the caller, with its length. */
-export function sendWhole(answer: Attempt["answer"], { status, headers, body }: BufferedAnswer): void {
+/** Sends a buffered answer to the caller, with its length. */
+export function sendBuffered(answer: Attempt["answer"], { status, headers, body }: BufferedAnswer): void {
     const rest = headers.filter(([name]) => name !== "content-length");
-    answer.send(status, [...rest, ["content-length", String(body.length)]], body);
+    answer.sendWhole(status, [...rest, ["content-length", String(body.length)]], body);
 }
--- a/src/passthrough/relayStream/index.ts
+++ b/src/passthrough/relayStream/index.ts
@@ -2,20 +2,20 @@
 import { Attempt, AttemptResult } from "../attempt/index.js";
 import { CallContext } from "../callContext/index.js";
 import { ReplyHead } from "../callDialect/index.js";
-import { endByError } from "../endByError/index.js";
+import { endWithHttpError } from "../endWithHttpError/index.js";
 import { EventScanner, ScannedEvents } from "../eventScanner/index.js";
 
-/** A resumable stream that shows nothing for so many of its longest pauses goes on elsewhere. */
-const STALL_GAPS = 3;
-/** No pause shorter than this counts as a stall, in milliseconds. */
-const LEAST_STALL_MS = 1_000;
+/** A resumable stream without events for this many times its longest allowed pause is resumed at another upstream. */
+const STALL_GAP_FACTOR = 3;
+/** Minimum pause that counts as a stall, in milliseconds. */
+const MIN_STALL_MS = 1_000;
 
 /**
- * Passes a stream of events on as they come, whole ones only.
+ * Forwards a stream of events as they arrive, complete events only.
  *
- * Guards against a stream that looks whole and is not: it ends towards the caller only when the upstream's answer has ended as HTTP
- * says it should; one that breaks off goes on elsewhere, or is cut. Its head waits for the first event, so that a stream
- * that never begins can still get an honest answer.
+ * Prevents truncated streams that look complete: the answer to the caller ends only when the upstream's answer has
+ * ended correctly by HTTP; a stream that breaks off is resumed at another upstream, or its connection is reset. Its
+ * head is sent with the first event, so that a stream that never begins can still get an error answer.
  */
 export async function relayStream(
     ctx: CallContext,
@@ -31,72 +31,74 @@
             const events = scanner.push(chunk);
             if (events.count === 0) continue;
             stall.restart();
-            noteEvents(ctx, attempt, events);
+            recordEvents(ctx, attempt, events);
             ctx.dispatcher.progress(attempt.ticketId, events.count * attempt.tokensPerEvent);
-            if (!stream.hasHead) start(attempt, reply, head);
+            if (!stream.isHeadSent) sendStreamHead(attempt, reply, head);
             await answer.write(events.bytes);
         }
     }
     catch (err) {
-        return endByError(endOf(attempt), err as HttpError);
+        return endWithHttpError(attemptEndOf(attempt), err as HttpError);
     }
     finally {
         stall.stop();
     }
-    if (scanner.hasTail && !isFramed(reply)) {
+    if (scanner.hasPartialEvent && !hasHttpFraming(reply)) {
         const detail = "the stream ends within an event";
-        return { kind: "ended", end: endOf(attempt), detail, connectionEnded: true };
+        return { kind: "ended", end: attemptEndOf(attempt), detail, connectionEnded: true };
     }
-    if (!stream.hasHead) start(attempt, reply, head);
-    answer.end(scanner.takeTail());
+    if (!stream.isHeadSent) sendStreamHead(attempt, reply, head);
+    answer.end(scanner.takePartialEvent());
     return { kind: "answered", status: reply.status };
 }
 
-function start({ answer, stream }: Attempt, { status }: HttpReply, { headers }: ReplyHead): void {
-    stream.hasHead = true;
-    // The length would be that of this upstream's part, if another one goes on.
-    answer.start(status, headers.filter(([name]) => name !== "content-length"));
+function sendStreamHead({ answer, stream }: Attempt, { status }: HttpReply, { headers }: ReplyHead): void {
+    stream.isHeadSent = true;
+    // If another upstream continues the stream, the length is only that of this upstream's part.
+    answer.sendHead(status, headers.filter(([name]) => name !== "content-length"));
 }
 
-function noteEvents(ctx: CallContext, { call, stream }: Attempt, { count, lastId }: ScannedEvents): void {
+function recordEvents(ctx: CallContext, { call, stream }: Attempt, { count, lastId }: ScannedEvents): void {
     const now = ctx.clock.monotonic();
-    if (stream.count === 0) {
+    if (stream.eventCount === 0) {
         stream.firstEventMs = now - call.arrivedAt;
-        stream.firstAt = now;
+        stream.firstEventAt = now;
     }
     else {
-        stream.longestGapMs = Math.max(stream.longestGapMs, now - stream.lastAt);
+        stream.longestGapMs = Math.max(stream.longestGapMs, now - stream.lastEventAt);
     }
-    stream.count += count;
-    stream.lastId = lastId ?? stream.lastId;
-    stream.lastAt = now;
+    stream.eventCount += count;
+    stream.lastEventId = lastId ?? stream.lastEventId;
+    stream.lastEventAt = now;
 }
 
-function endOf({ stream }: Attempt): "broken" | "lost" {
-    return stream.count > 0 ? "broken" : "lost";
+function attemptEndOf({ stream }: Attempt): "broken" | "lost" {
+    return stream.eventCount > 0 ? "broken" : "lost";
 }
 
-/** Whether HTTP itself says where the answer ends, and not the end of the connection. */
-function isFramed({ headers }: HttpReply): boolean {
+/** Whether HTTP framing marks the end of the answer, rather than the end of the connection. */
+function hasHttpFraming({ headers }: HttpReply): boolean {
     return findHeader(headers, "transfer-encoding") !== undefined
         || findHeader(headers, "content-length") !== undefined;
 }
 
-/** Stops an attempt whose stream has fallen silent, where another upstream can go on with it. */
+/** Cancels an attempt whose stream has stalled, when another upstream can resume it. */
 class StallTimer {
     private timer: { cancel(): void; } | undefined;
-    private readonly limitMs: number;
+    private readonly timeoutMs: number;
 
     constructor(private readonly ctx: CallContext, private readonly attempt: Attempt) {
         const { gapMs = 0, attempts } = attempt.call.route;
-        const canGoOn = attempt.call.route.resumable && attempts > 1;
-        this.limitMs = canGoOn ? Math.max(LEAST_STALL_MS, STALL_GAPS * gapMs) : Number.POSITIVE_INFINITY;
+        const canResumeElsewhere = attempt.call.route.resumable && attempts > 1;
+        this.timeoutMs = canResumeElsewhere
+            ? Math.max(MIN_STALL_MS, STALL_GAP_FACTOR * gapMs)
+            : Number.POSITIVE_INFINITY;
     }
 
     restart(): void {
         this.stop();
-        if (this.limitMs === Number.POSITIVE_INFINITY) return;
-        this.timer = this.ctx.clock.after(this.limitMs, () => this.attempt.run.cancel("stalled"));
+        if (this.timeoutMs === Number.POSITIVE_INFINITY) return;
+        this.timer = this.ctx.clock.after(this.timeoutMs, () => this.attempt.run.cancel("stalled"));
     }
 
     stop(): void {
--- a/src/passthrough/repeatBudget/index.ts
+++ b/src/passthrough/repeatBudget/index.ts
@@ -1,21 +1,26 @@
 import { PoolId } from "../../ids/index.js";
 import { Clock } from "../../ports/index.js";
 
-/** The bound on repeats that holds for the whole fleet, for each pool. */
+/** Limits on repeated calls of a pool, for the whole fleet. */
 export interface RepeatLimits {
-    /** Repeats for each request. */
+    /** Repeats allowed per request. */
     readonly ratio: number;
-    /** The span over which both are counted, in milliseconds. */
+    /** Length of the sliding window in which requests and repeats are counted, in milliseconds. */
     readonly windowMs: number;
-    /** Repeats in a window beside the ratio, over all entries together. */
+    /** Repeats allowed per window in addition to the ratio, over all entries together. */
     readonly slack: number;
 }
 
-/** A pool that fails as a whole gets a fifth more work at the most; the slack lets small pools repeat at all. */
+/**
+ * Default limits: a pool that fails as a whole gets at most 20% more work; the slack lets small pools repeat at all.
+ */
 export const DEFAULT_REPEAT_LIMITS: RepeatLimits = { ratio: 0.2, windowMs: 10_000, slack: 50 };
 
-/** Requests that entries count and upstreams see differ at a window's edges; a tenth is left for that. */
-const CAUTION = 0.9;
+/**
+ * Share of the limits that is used: the requests that entries count and those that upstreams see differ at the edges of
+ * a window, and a tenth is reserved for that.
+ */
+const WINDOW_EDGE_RATIO = 0.9;
 
 interface PoolCounts {
     requests: number[];
@@ -23,14 +28,15 @@
 }
 
 /**
- * Says whether a request may be sent to a further upstream. The bound is the fleet's, and each entry keeps to its own share: the
- * ratio of its own requests, and the slack divided by the number of entries.
+ * Decides whether a call may be repeated at another upstream. The limit applies to the fleet, and each entry uses its
+ * own share: the ratio of its own requests, and the slack divided by the number of entries.
  *
- * Guards against a retry storm: a pool that fails as a whole would get each request several times, and the added load keeps it down.
- * An entry that has just started leaves its slack alone for one window, since its run before may have used it.
+ * Prevents retry storms: a pool that fails as a whole would receive each call several times, and the added load would
+ * keep it down. An entry does not use its slack in the first window after a start, since it may have used it before the
+ * restart.
  *
  * @example
- * budget.noteRequest(pool);
+ * budget.recordRequest(pool);
  * if (budget.tryTake(pool, entries)) await sendAgain();
  */
 export class RepeatBudget {
@@ -41,15 +47,15 @@
         this.startedAt = clock.monotonic();
     }
 
-    /** Counts a request that a caller sent. */
-    noteRequest(pool: PoolId): void {
+    /** Records a call that a caller sent. */
+    recordRequest(pool: PoolId): void {
         this.countsOf(pool).requests.push(this.clock.monotonic());
     }
 
     /**
-     * Takes leave for one repeat.
+     * Takes one repeat from the budget; false when it must not be made.
      *
-     * @param entries - How many entries share the slack.
+     * @param entries - Number of entries that share the slack.
      */
     tryTake(pool: PoolId, entries: number): boolean {
         const { ratio, slack, windowMs } = this.limits;
@@ -57,8 +63,8 @@
         const counts = this.countsOf(pool);
         const isNew = now - this.startedAt < windowMs;
         const share = isNew ? 0 : slack / Math.max(1, entries);
-        const allowed = CAUTION * (ratio * counts.requests.length + share);
-        if (counts.repeats.length + 1 > allowed) return false;
+        const maxRepeats = WINDOW_EDGE_RATIO * (ratio * counts.requests.length + share);
+        if (counts.repeats.length + 1 > maxRepeats) return false;
         counts.repeats.push(now);
         return true;
     }
--- a/src/passthrough/repeatBudget/test.ts
+++ b/src/passthrough/repeatBudget/test.ts
@@ -14,22 +14,22 @@
 }
 
 describe("RepeatBudget", () => {
-    it("keeps to its share of the fleet's bound", async () => {
-        // A pool's upstreams fail half of their requests. Seven entries, each with 100 requests in ten seconds, may send
-        // 20 of 100 again and share a slack of 54; together they stay under the bound of 194.
+    it("keeps to its share of the fleet's limit", async () => {
+        // Seven entries with 100 requests each in ten seconds may repeat 20 of 100 each and share a slack of 54;
+        // together they stay below the limit of 194 when a pool's upstreams fail half of their requests.
         const clock = new VirtualClock();
         const budget = new RepeatBudget(clock, LIMITS);
         await clock.advance(10_000);
-        for (let i = 0; i < 100; i++) budget.noteRequest(POOL);
+        for (let i = 0; i < 100; i++) budget.recordRequest(POOL);
         assert.equal(takeAll(budget, 7), 24);
     });
 
-    it("begins without the slack, which its run before may have used", () => {
+    it("starts without the slack, which it may have used before a restart", () => {
         const budget = new RepeatBudget(new VirtualClock(), LIMITS);
         assert.equal(takeAll(budget, 7), 0);
     });
 
-    it("gets its share back as the window slides", async () => {
+    it("regains its share as the window slides", async () => {
         const clock = new VirtualClock();
         const budget = new RepeatBudget(clock, LIMITS);
         await clock.advance(10_000);
--- a/src/passthrough/serveCalls/index.ts
+++ b/src/passthrough/serveCalls/index.ts
@@ -10,7 +10,7 @@
 import { CallEnd, runCall } from "../runCall/index.js";
 
 /**
- * Gives the handler of routed calls.
+ * Creates the HTTP handler of routed calls.
  *
  * @example
  * const listener = await http.serve(address, limits, serveCalls(ctx));
@@ -36,30 +36,33 @@
     const detail = err.message;
     ctx.logger.info("call-refused", { request, kind: err.kind, detail, version, fresh: ctx.view.isFresh() });
     ctx.metrics.count("calls", 1, { outcome: err.kind });
-    answer.fail(err, request);
+    answer.sendError(err, request);
 }
 
-/** Runs a call under the registry's eyes: it is stopped when its caller goes or its time is over, and its end is noted. */
+/**
+ * Runs a call as an entry of the request registry: it is cancelled when its caller disconnects or its deadline passes,
+ * and its end is recorded.
+ */
 async function trackCall(ctx: CallContext, req: HttpRequest, answer: CallAnswer, call: PreparedCall): Promise<void> {
     const { route, pool, tier, workspace = "" as WorkspaceId } = call;
     const className = route.name as ClassName;
     const identity = { id: call.head.request, workspace, keyHash: undefined, className, tier, pool };
     const run = new RunningRequest(identity, ctx.clock);
     ctx.requests.add(run);
-    const stopGone = (): void => run.cancel("caller-gone");
-    req.closed.addEventListener("abort", stopGone);
-    const limit = ctx.clock.after(call.deadlineAt - ctx.clock.monotonic(), () => run.cancel("timeout"));
+    const cancelOnDisconnect = (): void => run.cancel("caller-gone");
+    req.closed.addEventListener("abort", cancelOnDisconnect);
+    const deadlineTimer = ctx.clock.after(call.deadlineAt - ctx.clock.monotonic(), () => run.cancel("timeout"));
     try {
-        noteEnd(ctx, call, run, await runCall(ctx, call, run, answer));
+        recordEnd(ctx, call, run, await runCall(ctx, call, run, answer));
     }
     finally {
-        limit.cancel();
-        req.closed.removeEventListener("abort", stopGone);
+        deadlineTimer.cancel();
+        req.closed.removeEventListener("abort", cancelOnDisconnect);
         ctx.requests.finish(run);
     }
 }
 
-function noteEnd(ctx: CallContext, call: PreparedCall, run: RunningRequest, end: CallEnd): void {
+function recordEnd(ctx: CallContext, call: PreparedCall, run: RunningRequest, end: CallEnd): void {
     const { route, workspace, pool, head, tier, fingerprint } = call;
     const { outcome, status, attempts, stream } = end;
     const ms = Math.round(run.ageMs());
@@ -81,7 +84,7 @@
         attempts,
         ms,
         firstMs,
-        events: stream.count,
+        events: stream.eventCount,
         gapMs: Math.round(stream.longestGapMs),
         targetMs: route.targetMs,
         gapBoundMs: route.gapMs,
--- a/src/passthrough/streamState/index.ts
+++ b/src/passthrough/streamState/index.ts
@@ -1,29 +1,29 @@
-/** What a caller has of a stream, over all upstreams that it came from. */
+/** How much of a stream the caller has received, from all upstreams together. */
 export interface StreamState {
-    /** Whole events passed on. */
-    count: number;
-    /** The id of the last of them. */
-    lastId: string | undefined;
-    /** Whether the caller has the head of its answer. */
-    hasHead: boolean;
-    /** Milliseconds from the call's arrival to the first event; undefined before it. */
+    /** Number of complete events sent to the caller. */
+    eventCount: number;
+    /** The id of the last event that had one. */
+    lastEventId: string | undefined;
+    /** Whether the head of the answer has been sent to the caller. */
+    isHeadSent: boolean;
+    /** Time from the call's arrival to the first event, in milliseconds; undefined before it. */
     firstEventMs: number | undefined;
     /** Monotonic times of the first and the last event, in milliseconds. */
-    firstAt: number;
-    lastAt: number;
-    /** The longest pause between two events, in milliseconds. */
+    firstEventAt: number;
+    lastEventAt: number;
+    /** Longest pause between two events, in milliseconds. */
     longestGapMs: number;
 }
 
-/** A stream of which nothing has come yet. */
-export function newStreamState(): StreamState {
+/** Creates the state of a stream before its first event. */
+export function createStreamState(): StreamState {
     return {
-        count: 0,
-        lastId: undefined,
-        hasHead: false,
+        eventCount: 0,
+        lastEventId: undefined,
+        isHeadSent: false,
         firstEventMs: undefined,
-        firstAt: 0,
-        lastAt: 0,
+        firstEventAt: 0,
+        lastEventAt: 0,
         longestGapMs: 0,
     };
 }
