--- a/src/order/index.ts
+++ b/src/order/index.ts
@@ -1,2 +1,5 @@
-/** Orders to the platform and to engines: the intent is committed first, then the order is sent, then its outcome kept. */
+/**
+ * Orders to the platform and to engines: the intent of an order is committed before the order is sent, and its outcome
+ * afterwards.
+ */
 export * from "./orderBook/index.js";
--- a/src/order/orderBook/index.ts
+++ b/src/order/orderBook/index.ts
@@ -2,14 +2,18 @@
 import type { FencingToken, OrderId } from "../../ids/index.js";
 import type { EngineOrder, PlatformOrder } from "../../protocol/index.js";
 
-/** How many finished orders are kept for operators to read. */
-const FINISHED_KEPT = 500;
+/** Maximum number of finished orders kept for operators. */
+const MAX_FINISHED_ORDERS = 500;
 
-/** An order without what the sender adds: id and fencing token. */
+/** A platform order without the fields that the sender adds: id and fencing token. */
 export type PlatformOrderBody = Omit<PlatformOrder, "order_id" | "fencing_token">;
+/** An engine order without the fields that the sender adds: id and fencing token. */
 export type EngineOrderBody = Omit<EngineOrder, "order_id" | "fencing_token">;
 
-/** Whom an order goes to, and what it says. `address`: the engine's `IP:port`; `checksFence`: it refuses old fencing tokens. */
+/**
+ * The receiver of an order and its content. `address`: the engine's `IP:port`; `checksFence`: whether it refuses orders
+ * with an old fencing token.
+ */
 export type OrderTarget =
     | { readonly to: "platform"; readonly body: PlatformOrderBody; }
     | {
@@ -20,65 +24,73 @@
         readonly body: EngineOrderBody;
     };
 
-/** Commits that an order will be sent. */
+/** Commits the intent to send an order. */
 export interface OrderIntentCommand {
     readonly kind: "order.intent";
     readonly orderId: OrderId;
     readonly fencingToken: FencingToken;
     readonly target: OrderTarget;
-    /** Why, for operators. */
+    /** The reason for the order, for operators. */
     readonly reason: string;
 }
 
-/** `done`: accepted. `refused`: the receiver will not do it; sending it again is of no use. */
+/** `done`: accepted by the receiver. `refused`: the receiver will not execute it; sending it again is useless. */
 export type OrderOutcome = "done" | "refused";
 
-/** Commits what came of an order. */
+/** Commits the outcome of an order. */
 export interface OrderOutcomeCommand {
     readonly kind: "order.outcome";
     readonly orderId: OrderId;
     readonly outcome: OrderOutcome;
-    /** The upstreams that the platform named. */
+    /** The upstreams that the platform named in its answer. */
     readonly upstreams: readonly string[];
     readonly detail: string;
 }
 
-/** An order, from its intent to its outcome. */
+/** The record of an order, from its intent to its outcome. */
 export interface OrderRecord {
     readonly orderId: OrderId;
     readonly fencingToken: FencingToken;
     readonly target: OrderTarget;
     readonly reason: string;
+    /** When the intent was proposed, in milliseconds since the epoch. */
     readonly intendedAt: number;
     readonly outcome?: OrderOutcome;
     readonly upstreams: readonly string[];
     readonly detail: string;
+    /** When the outcome was proposed, in milliseconds since the epoch; undefined while the order is open. */
     readonly finishedAt?: number;
 }
 
-/** `stale`: a later holder has given orders since. */
+/**
+ * The state of an order after its intent was applied. `stale`: a later holder of the control lease has given orders
+ * since, and the intent was not recorded.
+ */
 export type IntentResult = { readonly state: "open" | "finished" | "stale"; };
 
+/** Snapshot of the recorded orders. */
 export interface OrderSnapshot {
+    /** The highest fencing token of any order. */
     readonly highestToken: number;
     readonly open: readonly OrderRecord[];
     readonly finished: readonly OrderRecord[];
 }
 
 /**
- * The orders given.
+ * Replicated record of the orders to the platform and to engines.
  *
- * Guards against an order given twice under two ids when its holder is lost: the intent is committed before anything is
- * sent, so the successor finds it and sends it again under the same id.
+ * Prevents an order from being given twice under two ids when its holder is lost: the intent is committed before
+ * anything is sent, so that the successor finds it and sends it again under the same id.
  *
  * @example
- * book.intend(command, context);
+ * ledger.intend(command, context);
  */
 export class OrderBook {
     private readonly open = new Map<OrderId, OrderRecord>();
     private readonly finished = new Map<OrderId, OrderRecord>();
     private highestToken = 0;
 
+    /** Records the intent to send an order; an order that is already recorded is left unchanged. */
     intend(command: OrderIntentCommand, context: ApplyContext): IntentResult {
         const { orderId, fencingToken, target, reason } = command;
         if (this.finished.has(orderId)) return { state: "finished" };
@@ -90,23 +102,24 @@
         return { state: "open" };
     }
 
-    /** Keeps the first outcome of an order; later ones change nothing. */
+    /** Records the outcome of an order. Only the first one counts; later ones are ignored. */
     finish({ orderId, outcome, upstreams, detail }: OrderOutcomeCommand, context: ApplyContext): void {
         const order = this.open.get(orderId);
         if (!order) return;
         this.open.delete(orderId);
         this.finished.set(orderId, { ...order, outcome, upstreams, detail, finishedAt: context.proposedAt });
         for (const oldest of this.finished.keys()) {
-            if (this.finished.size <= FINISHED_KEPT) return;
+            if (this.finished.size <= MAX_FINISHED_ORDERS) return;
             this.finished.delete(oldest);
         }
     }
 
-    /** Orders without an outcome, in the order of their intents. */
+    /** Returns the orders without an outcome, in the order of their intents. */
     listOpen(): readonly OrderRecord[] {
         return [...this.open.values()];
     }
 
+    /** Returns the newest finished orders, in the order of their outcomes. */
     listFinished(): readonly OrderRecord[] {
         return [...this.finished.values()];
     }
