--- a/src/dispatch/admissionControl/index.ts
+++ b/src/dispatch/admissionControl/index.ts
@@ -19,9 +19,9 @@
     readonly startedAt: number;
 }
 
-/** How long requests may wait in a pool without upstreams, in milliseconds; upstreams announce twice a second. */
+/** Maximum wait in a pool without upstreams, in milliseconds; upstreams announce twice a second. */
 const EMPTY_POOL_GRACE_MS = 2_000;
-/** How long waits are not predicted after a takeover, in milliseconds. */
+/** Time after a takeover in which waits are not predicted, in milliseconds. */
 const TAKEOVER_SETTLE_MS = 600;
 /** Time for a preempted request to free its slot, in milliseconds. */
 const PREEMPTION_WAIT_MS = 50;
--- a/src/dispatch/dispatchPolicies/index.ts
+++ b/src/dispatch/dispatchPolicies/index.ts
@@ -17,7 +17,7 @@
 export interface ChoiceDependencies {
     readonly random: Random;
     readonly prefixes: PrefixIndex;
-    /** The KV cache capacity of the pool's upstreams, in tokens; undefined where it is unknown. */
+    /** The KV cache capacity of each upstream of the pool, in tokens; undefined where it is unknown. */
     readonly capacity: () => number | undefined;
 }
 
--- a/src/dispatch/localDispatcher/index.ts
+++ b/src/dispatch/localDispatcher/index.ts
@@ -19,7 +19,7 @@
     readonly zone: ZoneId;
     readonly policies?: DispatchPolicies;
     readonly observer?: DispatchObserver;
-    /** The KV cache capacity of a pool's upstreams, in tokens; undefined where it is unknown. */
+    /** The KV cache capacity of each upstream of a pool, in tokens; undefined where it is unknown. */
     readonly capacityOf?: (pool: PoolId) => number | undefined;
     /**
      * Maximum number of requests per second that this process may send to a cold upstream of a pool; undefined for no
@@ -33,7 +33,7 @@
     readonly limitShareOf?: (pool: PoolId) => number;
 }
 
-/** Interval between reviews of the queues, in milliseconds. */
+/** Interval between reviews of the waiting tickets, in milliseconds. */
 const TICK_MS = 25;
 
 /**
--- a/src/dispatch/poolQueueOptions/index.ts
+++ b/src/dispatch/poolQueueOptions/index.ts
@@ -24,6 +24,6 @@
     readonly preempt: (request: RequestId) => void;
     /** Monotonic time from which upstreams could be discovered, in milliseconds. */
     readonly startedAt: number;
-    /** The KV cache capacity of a pool's upstreams, in tokens; undefined where it is unknown. */
+    /** The KV cache capacity of each upstream of a pool, in tokens; undefined where it is unknown. */
     readonly capacityOf?: (pool: PoolId) => number | undefined;
 }
--- a/src/order/orderBook/index.ts
+++ b/src/order/orderBook/index.ts
@@ -53,12 +53,12 @@
     readonly fencingToken: FencingToken;
     readonly target: OrderTarget;
     readonly reason: string;
-    /** When the intent was proposed, in milliseconds since the epoch. */
+    /** Time at which the intent was proposed, in milliseconds since the epoch. */
     readonly intendedAt: number;
     readonly outcome?: OrderOutcome;
     readonly upstreams: readonly string[];
     readonly detail: string;
-    /** When the outcome was proposed, in milliseconds since the epoch; undefined while the order is open. */
+    /** Time at which the outcome was proposed, in milliseconds since the epoch; undefined while the order is open. */
     readonly finishedAt?: number;
 }
 
--- a/src/passthrough/attempt/index.ts
+++ b/src/passthrough/attempt/index.ts
@@ -13,7 +13,7 @@
     readonly grant: Grant;
     readonly run: RunningRequest;
     readonly answer: CallAnswer;
-    /** How much of the stream the caller has received so far. */
+    /** The part of the stream that the caller has received so far. */
     readonly stream: StreamState;
     /**
      * Timeout for the upstream's first byte, in milliseconds; undefined when the call must not go to another upstream.
--- a/src/passthrough/callContext/index.ts
+++ b/src/passthrough/callContext/index.ts
@@ -49,7 +49,7 @@
     readonly crashes: CrashGuard;
     readonly starts: StartMeter;
     readonly time: TrueTime;
-    /** Whether this entry has received that an upstream is leaving or gone, or that its zone is evacuated. */
+    /** Whether this entry has received an update that an upstream is leaving or gone, or that its zone is evacuated. */
     readonly mayNotSendTo: (upstream: UpstreamId) => boolean;
     /** Whether a planned stop has begun: each answer then closes its connection. */
     readonly isDraining: () => boolean;
--- a/src/passthrough/callDialect/index.ts
+++ b/src/passthrough/callDialect/index.ts
@@ -4,7 +4,7 @@
 import { PromptPart } from "../../upstream/index.js";
 import { CallError } from "../callError/index.js";
 
-/** What a caller's request head contains, besides method and path. */
+/** Contents of a caller's request head, besides method and path. */
 export interface CallHead {
     /** The caller's id of this attempt, passed to the upstream unchanged. */
     readonly request: RequestId;
@@ -45,7 +45,7 @@
     readonly fetchFrom: Address | undefined;
 }
 
-/** What the head of an upstream's answer contains. */
+/** Contents of the head of an upstream's answer. */
 export interface ReplyHead {
     /** The id of the call that it answers; undefined when not stated. */
     readonly request: string | undefined;
--- a/src/passthrough/nextStep/index.ts
+++ b/src/passthrough/nextStep/index.ts
@@ -1,6 +1,6 @@
 import { CallKind } from "../../routing/index.js";
 
-/** How an attempt at one upstream ended without a final answer. */
+/** The end of an attempt at one upstream that brought no final answer. */
 export type AttemptEnd =
     /** No byte can have been sent. */
     | "not-sent"
--- a/src/passthrough/runCall/index.ts
+++ b/src/passthrough/runCall/index.ts
@@ -26,7 +26,7 @@
 const DEFAULT_MAX_TOKENS = 1;
 const DEFAULT_TOKEN_MS = 50;
 
-/** How a call ended. */
+/** The end of a call, for its log record and metrics. */
 export interface CallEnd {
     readonly outcome: string;
     readonly status: number;
--- a/src/passthrough/streamState/index.ts
+++ b/src/passthrough/streamState/index.ts
@@ -1,4 +1,4 @@
-/** How much of a stream the caller has received, from all upstreams together. */
+/** The part of a stream that the caller has received, from all upstreams together. */
 export interface StreamState {
     /** Number of complete events sent to the caller. */
     eventCount: number;
