--- a/src/ports/_lib/serveRawConnection.ts
+++ b/src/ports/_lib/serveRawConnection.ts
@@ -5,8 +5,8 @@
 const HEAD_END = "\r\n\r\n";
 
 /**
- * Serves one HTTP/1.1 request that comes over a byte stream, then closes it: so that code which writes its requests to
- * a connection of its own meets the same in-memory servers.
+ * Serves one HTTP/1.1 request over a byte stream, then closes the stream. Lets code that writes HTTP directly to a
+ * connection reach the same in-memory servers as code that uses `Http`.
  */
 export async function serveRawConnection(connection: Connection, handler: HttpHandler): Promise<void> {
     const req = await readRequest(connection);
@@ -67,7 +67,7 @@
     }
 }
 
-/** Keeps the body until its end, since the head carries its length. */
+/** Buffers the whole body, since the header section carries its length. */
 class RawResponse extends HttpResponse {
     private status = 200;
     private headers: HeaderList = [];
--- a/src/ports/clock/index.ts
+++ b/src/ports/clock/index.ts
@@ -1,45 +1,45 @@
-/** A pending call of `Clock.after`. */
+/** Handle of a callback scheduled by `Clock.after`. */
 export interface Timer {
-    /** Stops the call; harmless when it has run. */
+    /** Cancels the callback; has no effect once it has run. */
     cancel(): void;
 }
 
 /**
- * The only source of time.
+ * The only source of time in the system.
  *
  * @example
  * await clock.sleep(50);
  */
 export abstract class Clock {
-    /** Wall time in milliseconds since the epoch. May jump; only for records people read. */
+    /** Wall time, in milliseconds since the epoch. It may jump, so use it only for records that people read. */
     abstract now(): number;
 
-    /** Milliseconds on a clock that never goes back. Leases and deadlines run on this one. */
+    /** Monotonic time, in milliseconds. Used for leases and deadlines. */
     abstract monotonic(): number;
 
     /**
-     * Milliseconds on a clock that never goes back and never counts less than has passed, for whoever holds a right that
-     * ends by time: a lease's holder, an entry with a view. Differs from `monotonic` where the machine can be suspended, which
-     * stops the steady clock. Whoever granted the right counts on `monotonic`, which then ends later: both err on the safe side.
+     * Monotonic time that includes the time for which the machine was suspended, in milliseconds. `monotonic` stands still
+     * meanwhile. The holder of a right that expires (a lease, an entry's view) measures it by this clock; the process that
+     * granted the right uses `monotonic`, by which it expires later. So both err on the safe side.
      */
     elapsed(): number {
         return this.monotonic();
     }
 
     /**
-     * Calls back once, later.
+     * Schedules a callback to run once.
      *
-     * @param ms - How long from now, in milliseconds.
-     * @param callback - What to call.
-     * @returns The handle that cancels it.
+     * @param ms - The delay, in milliseconds.
+     * @param callback - The function to call.
+     * @returns A handle that cancels the callback.
      */
     abstract after(ms: number, callback: () => void): Timer;
 
     /**
-     * Waits.
+     * Waits for a duration.
      *
-     * @param ms - How long, in milliseconds.
-     * @param signal - Ends the wait early, without an error.
+     * @param ms - The duration, in milliseconds.
+     * @param signal - Ends the wait early when aborted, without an error.
      */
     sleep(ms: number, signal?: AbortSignal): Promise<void> {
         if (signal?.aborted) return Promise.resolve();
@@ -55,26 +55,28 @@
     }
 
     /**
-     * How long it is to the next multiple of a period on the steady clock, in milliseconds. What a process does now and then falls on few moments
-     * in this way: each time it wakes up costs it as much as some messages, and most hosts of a large fleet are idle most of the time.
+     * Returns the time until the next multiple of a period on the monotonic clock, in milliseconds. Periodic tasks of a
+     * process so run at the same moments: each wake-up costs as much as handling some messages, and most hosts of a large
+     * fleet are idle most of the time.
      *
      * @param periodMs - The period, in milliseconds.
      */
     untilTick(periodMs: number): number {
-        const leftMs = periodMs - this.monotonic() % periodMs;
-        // Timers may fire a little early, and a tick must not come twice.
-        return Math.ceil(leftMs < EARLY_SHARE * periodMs ? leftMs + periodMs : leftMs);
+        const remainingMs = periodMs - this.monotonic() % periodMs;
+        // Timers may fire slightly early; the same tick must not be returned twice.
+        return Math.ceil(remainingMs < MAX_EARLY_SHARE * periodMs ? remainingMs + periodMs : remainingMs);
     }
 
     /**
-     * Waits for the next multiple of a period, as `untilTick` counts.
+     * Waits until the next multiple of a period, as computed by `untilTick`.
      *
      * @param periodMs - The period, in milliseconds.
-     * @param signal - As for `sleep`.
+     * @param signal - Ends the wait early when aborted, without an error.
      */
     sleepToTick(periodMs: number, signal?: AbortSignal): Promise<void> {
         return this.sleep(this.untilTick(periodMs), signal);
     }
 }
 
-const EARLY_SHARE = 0.1;
+/** Largest share of a period by which a timer may fire early. */
+const MAX_EARLY_SHARE = 0.1;
--- a/src/ports/clock/test.ts
+++ b/src/ports/clock/test.ts
@@ -4,7 +4,7 @@
 
 describe("Clock", () => {
     describe("sleepToTick", () => {
-        it("lets tasks of equal periods go on at the same moments, whenever they began", async () => {
+        it("wakes tasks with equal periods at the same moments, whenever they started", async () => {
             const clock = new VirtualClock();
             const ticks = new Set<number>();
             const count = async (): Promise<void> => {
@@ -20,7 +20,7 @@
             assert.deepEqual([...ticks], [200, 400, 600, 800, 1_000]);
         });
 
-        it("gives no tick twice when a timer has fired a little early", async () => {
+        it("does not return the same tick twice when a timer fired slightly early", async () => {
             const clock = new VirtualClock();
             await clock.advance(199);
             assert.equal(clock.untilTick(200), 201);
--- a/src/ports/disk/index.ts
+++ b/src/ports/disk/index.ts
@@ -1,37 +1,37 @@
-/** A disk that did not do what was asked. */
+/** A disk operation that failed. */
 export class DiskError extends Error {
-    /** @param reason - What the operating system said, in a word. */
+    /** @param reason - The class of the operating system's error. */
     constructor(readonly reason: "full" | "missing" | "locked" | "io", detail: string) {
         super(`${reason}: ${detail}`);
     }
 }
 
-/** A file open for appending. */
+/** A file opened for appending. */
 export abstract class AppendFile {
-    /** Size in bytes, appended but unsynced bytes included. */
+    /** Size in bytes, including appended bytes that are not synced yet. */
     abstract readonly size: number;
 
     /**
-     * Adds bytes at the end. They last only once `sync` has settled.
+     * Appends bytes. They are durable only after `sync` has resolved.
      *
      * @throws DiskError
      */
     abstract append(bytes: Uint8Array): Promise<void>;
 
     /**
-     * Makes all that was appended last.
+     * Makes all appended bytes durable.
      *
      * @throws DiskError
      */
     abstract sync(): Promise<void>;
 
-    /** Cuts the file to a size, and makes that last. */
+    /** Truncates the file to a size in bytes, durably. */
     abstract truncate(size: number): Promise<void>;
 
     abstract close(): Promise<void>;
 }
 
-/** A lock on a folder, held until released or until the process ends. */
+/** Exclusive lock on a folder, held until it is released or the process ends. */
 export interface DiskLock {
     release(): Promise<void>;
 }
@@ -43,28 +43,28 @@
  * const file = await disk.openAppend("log/00000001.seg");
  */
 export abstract class Disk {
-    /** Makes a folder and those above it, and makes them last. */
+    /** Creates a folder and its parents, durably. */
     abstract makeFolder(path: string): Promise<void>;
 
-    /** The names in a folder, sorted. */
+    /** Returns the names in a folder, sorted. */
     abstract list(path: string): Promise<string[]>;
 
-    /** The whole content of a file, or undefined when there is none. */
+    /** Returns the content of a file, or undefined if it does not exist. */
     abstract read(path: string): Promise<Uint8Array | undefined>;
 
-    /** Opens a file for appending, making it (and its entry in the folder last) when there is none. */
+    /** Opens a file for appending. Creates it if it does not exist, with a durable entry in its folder. */
     abstract openAppend(path: string): Promise<AppendFile>;
 
-    /** Replaces a file as a whole: a reader after a crash finds the old content or the new, never a mix. */
+    /** Replaces a file atomically: after a crash, it has either the old content or the new. */
     abstract replace(path: string, bytes: Uint8Array): Promise<void>;
 
-    /** Removes a file; harmless when there is none. */
+    /** Removes a file, if it exists. */
     abstract remove(path: string): Promise<void>;
 
     /**
-     * Takes the data folder for this process alone.
+     * Locks the data folder for this process.
      *
-     * @throws DiskError with `locked` when a live process has it.
+     * @throws DiskError with reason `locked` if a running process holds the lock.
      */
     abstract lock(): Promise<DiskLock>;
 }
--- a/src/ports/fileDisk/index.ts
+++ b/src/ports/fileDisk/index.ts
@@ -5,7 +5,7 @@
 import { AppendFile, Disk, DiskError, DiskLock } from "../disk/index.js";
 
 /**
- * Files on the machine's disk.
+ * Disk on the local file system.
  *
  * @example
  * const disk = new FileDisk("/var/lib/sequoiamux");
@@ -17,40 +17,40 @@
     }
 
     async makeFolder(path: string): Promise<void> {
-        await turnErrors(async () => {
-            await mkdir(this.full(path), { recursive: true });
-            await syncFolder(dirname(this.full(path)));
+        await withDiskErrors(async () => {
+            await mkdir(this.resolvePath(path), { recursive: true });
+            await syncFolder(dirname(this.resolvePath(path)));
         });
     }
 
     async list(path: string): Promise<string[]> {
-        return turnErrors(async () => (await readdir(this.full(path))).sort());
+        return withDiskErrors(async () => (await readdir(this.resolvePath(path))).sort());
     }
 
     async read(path: string): Promise<Uint8Array | undefined> {
         try {
-            return await readFile(this.full(path));
+            return await readFile(this.resolvePath(path));
         }
         catch (err) {
             if (isMissing(err)) return undefined;
-            throw turnError(err);
+            throw toDiskError(err);
         }
     }
 
     async openAppend(path: string): Promise<AppendFile> {
-        return turnErrors(async () => {
-            const handle = await open(this.full(path), "a+");
+        return withDiskErrors(async () => {
+            const handle = await open(this.resolvePath(path), "a+");
             const { size } = await handle.stat();
-            await syncFolder(dirname(this.full(path)));
-            return new FileAppend(handle, size);
+            await syncFolder(dirname(this.resolvePath(path)));
+            return new FileDiskAppendFile(handle, size);
         });
     }
 
     async replace(path: string, bytes: Uint8Array): Promise<void> {
-        const target = this.full(path);
-        const draft = `${target}.draft`;
-        await turnErrors(async () => {
-            const handle = await open(draft, "w");
+        const target = this.resolvePath(path);
+        const temporary = `${target}.draft`;
+        await withDiskErrors(async () => {
+            const handle = await open(temporary, "w");
             try {
                 await handle.writeFile(bytes);
                 await handle.sync();
@@ -58,41 +58,41 @@
             finally {
                 await handle.close();
             }
-            await rename(draft, target);
+            await rename(temporary, target);
             await syncFolder(dirname(target));
         });
     }
 
     async remove(path: string): Promise<void> {
-        await turnErrors(() => rm(this.full(path), { force: true }));
+        await withDiskErrors(() => rm(this.resolvePath(path), { force: true }));
     }
 
     /**
-     * The lock is a listening socket in Linux's abstract namespace, named after the folder: the kernel drops it with
-     * the process, so that a crash never leaves a stale lock behind, as a lock file would. A machine without such sockets is taken to
-     * run one process for each folder: there is no other lock that ends with its process.
+     * Locks the folder by listening on a socket in Linux's abstract namespace that is named after it. The kernel closes the
+     * socket with the process, so a crash leaves no stale lock, as a lock file would. Where such sockets are not available,
+     * no lock is taken, since no other lock ends with its process: each folder must then be used by one process only.
      */
     async lock(): Promise<DiskLock> {
-        const name = createHash("sha256").update(resolve(this.root)).digest("hex").slice(0, 32);
+        const socketName = createHash("sha256").update(resolve(this.root)).digest("hex").slice(0, 32);
         const server = createServer();
         const isLocked = await new Promise<boolean>((done, fail) => {
             server.once("error", (err: NodeJS.ErrnoException) => {
                 if (err.code !== "EADDRINUSE") return done(false);
                 fail(new DiskError("locked", `${this.root} is in use by another process`));
             });
-            server.listen(`\0sequoiamux-${name}`, () => done(true));
+            server.listen(`\0sequoiamux-${socketName}`, () => done(true));
         });
         if (!isLocked) return { release: async () => undefined };
         server.unref();
         return { release: () => new Promise<void>(done => server.close(() => done())) };
     }
 
-    private full(path: string): string {
+    private resolvePath(path: string): string {
         return join(this.root, path);
     }
 }
 
-class FileAppend extends AppendFile {
+class FileDiskAppendFile extends AppendFile {
     constructor(private readonly handle: FileHandle, private written: number) {
         super();
     }
@@ -102,16 +102,16 @@
     }
 
     async append(bytes: Uint8Array): Promise<void> {
-        await turnErrors(() => this.handle.appendFile(bytes));
+        await withDiskErrors(() => this.handle.appendFile(bytes));
         this.written += bytes.length;
     }
 
     async sync(): Promise<void> {
-        await turnErrors(() => this.handle.datasync());
+        await withDiskErrors(() => this.handle.datasync());
     }
 
     async truncate(size: number): Promise<void> {
-        await turnErrors(async () => {
+        await withDiskErrors(async () => {
             await this.handle.truncate(size);
             await this.handle.sync();
         });
@@ -133,12 +133,12 @@
     }
 }
 
-async function turnErrors<Value>(work: () => Promise<Value>): Promise<Value> {
+async function withDiskErrors<Value>(work: () => Promise<Value>): Promise<Value> {
     try {
         return await work();
     }
     catch (err) {
-        throw turnError(err);
+        throw toDiskError(err);
     }
 }
 
@@ -146,7 +146,7 @@
     return (err as NodeJS.ErrnoException).code === "ENOENT";
 }
 
-function turnError(err: unknown): DiskError {
+function toDiskError(err: unknown): DiskError {
     if (err instanceof DiskError) return err;
     const { code, message } = err as NodeJS.ErrnoException;
     if (code === "ENOSPC" || code === "EDQUOT") return new DiskError("full", message);
--- a/src/ports/http/index.ts
+++ b/src/ports/http/index.ts
@@ -1,44 +1,44 @@
 import { Either } from "purify-ts";
 import { Address, Listener } from "../network/index.js";
 
-/** Header names in lower case with their values, in order; a name may stand more than once. */
+/** Headers in order, with names in lower case; a name may occur more than once. */
 export type HeaderList = readonly (readonly [name: string, value: string])[];
 
-/** A request to send. */
+/** An outgoing request. */
 export interface HttpCall {
     readonly address: Address;
     readonly method: string;
     readonly path: string;
     readonly headers: HeaderList;
     readonly body?: Uint8Array;
-    /** True: a new connection that is closed after the answer. False: a pooled one may serve. */
+    /** Whether to use a new connection that is closed after the response, instead of a pooled one. */
     readonly fresh: boolean;
-    /** True: of the pooled ones only a connection used a moment ago, on which the far end has hardly had time to give up. */
+    /** Whether to reuse only recently used pooled connections, which the server is unlikely to have closed yet. */
     readonly recentOnly?: boolean;
-    /** How long to wait for the connection, in milliseconds. */
+    /** Timeout for opening the connection, in milliseconds. */
     readonly connectTimeoutMs: number;
-    /** How long to wait for the answer's head once sent, in milliseconds. */
+    /** Timeout for the response's headers, from when the connection is open, in milliseconds. */
     readonly headTimeoutMs: number;
     /** Resets the connection when aborted. */
     readonly signal?: AbortSignal;
 }
 
-/** The answer to a request. */
+/** The response to an outgoing request. */
 export interface HttpReply {
     readonly status: number;
     readonly headers: HeaderList;
-    /** The body's bytes. Throws HttpError when the connection ends before the body does. */
+    /** The body's bytes. Iteration throws HttpError if the connection ends before the body is complete. */
     readonly body: AsyncIterable<Uint8Array>;
-    /** Resets the connection, so that no later request uses it. */
+    /** Resets the connection, so that it is not reused. */
     reset(): void;
 }
 
-/** A request that got no whole answer. */
+/** An outgoing request that got no complete response. */
 export class HttpError extends Error {
     /**
-     * @param reason - What happened, in a word.
-     * @param mayHaveLeft - False only when no byte of the request can have left this process.
-     * @param detail - For logs.
+     * @param reason - The class of failure.
+     * @param mayHaveLeft - Whether any byte of the request may have been sent; false only if certainly none was.
+     * @param detail - Further text for logs.
      */
     constructor(
         readonly reason: "refused" | "timeout" | "closed" | "aborted" | "malformed",
@@ -49,81 +49,82 @@
     }
 }
 
-/** A request's body that could not be read. */
+/** A failure to read the body of an incoming request. */
 export class BodyError extends Error {
-    /** @param reason - Too large, too slow, or cut off by the caller. */
+    /** @param reason - `too-large`, `timeout`, or `closed` if the caller closed the connection. */
     constructor(readonly reason: "too-large" | "timeout" | "closed") {
         super(reason);
     }
 }
 
-/** A request as a server gets it. */
+/** An incoming request. */
 export abstract class HttpRequest {
     abstract readonly method: string;
     /** Path and query, as sent. */
     abstract readonly path: string;
     abstract readonly headers: HeaderList;
     abstract readonly remote: string;
-    /** Aborted when the caller's connection ends before the answer does. */
+    /** Aborted when the caller's connection ends before the response is complete. */
     abstract readonly closed: AbortSignal;
 
     /**
      * Reads the whole body.
      *
-     * @param limitBytes - The most that is accepted.
+     * @param limitBytes - Maximum size of the body, in bytes.
      */
     abstract body(limitBytes: number): Promise<Either<BodyError, Uint8Array>>;
 }
 
-/** The answer a server writes. */
+/** The response to an incoming request. */
 export abstract class HttpResponse {
     /** Sends the status line and headers. */
     abstract head(status: number, headers: HeaderList): void;
-    /** Sends a part of the body; settles when the caller can take more. */
+    /** Sends a part of the body; resolves when the connection accepts more data. */
     abstract write(chunk: string | Uint8Array): Promise<void>;
-    /** Ends the answer. */
+    /** Completes the response. */
     abstract end(chunk?: string | Uint8Array): void;
-    /** Cuts the connection, so that the caller can't take what it has for the whole. */
+    /** Resets the connection, so that the caller can't mistake a partial response for a complete one. */
     abstract reset(): void;
 }
 
-/** Answers one request. An error thrown becomes a 500 without detail. */
+/** Handles one incoming request. A thrown error becomes a response with status 500 and no details. */
 export type HttpHandler = (req: HttpRequest, res: HttpResponse) => Promise<void>;
 
-/** Bounds on what a server takes in. */
+/** Limits that a server applies to connections and requests. */
 export interface HttpLimits {
-    /** Size of all headers together, in bytes. */
+    /** Maximum total size of the headers, in bytes. */
     readonly headerBytes: number;
-    /** How long a caller may take over the headers, and over the whole request, in milliseconds. */
+    /** Timeout for receiving the headers, in milliseconds. */
     readonly headerTimeoutMs: number;
+    /** Timeout for receiving the whole request, in milliseconds. */
     readonly requestTimeoutMs: number;
-    /** How long a connection may stay idle between two requests, in milliseconds; told to callers in whole seconds. */
+    /** Maximum idle time of a connection between requests, in milliseconds; announced to callers in whole seconds. */
     readonly idleTimeoutMs?: number;
 }
 
 /** A listening HTTP server. */
 export interface HttpListener extends Listener {
-    /** Changes the limits of connections from now on; the size of headers keeps its first bound. */
+    /** Changes the limits, except `headerBytes`, which can't be changed after the start. */
     setLimits(limits: HttpLimits): void;
-    /** Takes no more connections and closes idle ones; answers under way go on. Settles when the last has ended. */
+    /** Stops accepting connections and closes idle ones; resolves once all running responses have ended. */
     stopAccepting(): Promise<void>;
 }
 
 /**
- * HTTP/1.1 to callers, upstreams, the platform and operators.
+ * HTTP/1.1 server and client, for callers, upstreams, the platform and operators.
  *
  * @example
  * const reply = await http.send(call);
  */
 export abstract class Http {
-    /** Serves requests until the listener is closed; closing it lets running answers end. */
+    /** Starts a server that runs until its listener is closed; closing waits for running responses. */
     abstract serve(address: Address, limits: HttpLimits, handler: HttpHandler): Promise<HttpListener>;
 
-    /** Sends a request and gives its answer's head; the body follows. */
+    /** Sends a request; resolves once the response's headers have arrived. */
     abstract send(call: HttpCall): Promise<Either<HttpError, HttpReply>>;
 }
 
-/** The limits used where settings give none. */
+/** Limits used where the settings have none. */
 export const DEFAULT_HTTP_LIMITS: HttpLimits = {
     headerBytes: 16_384,
     headerTimeoutMs: 10_000,
@@ -131,11 +132,11 @@
 };
 
 /**
- * Finds a header.
+ * Returns the value of a header.
  *
- * @param headers - Where to look.
- * @param name - The name, in lower case.
- * @returns The first value, or undefined.
+ * @param headers - The headers to search.
+ * @param name - The header's name, in lower case.
+ * @returns The first value, or undefined if the header is missing.
  * @example
  * findHeader(req.headers, "idempotency-key");
  */
@@ -144,21 +145,21 @@
 }
 
 /**
- * Reads an answer's body to its end, as text.
+ * Reads the whole body of a response as text.
  *
- * @param mostBytes - A longer body is given up, and its connection reset.
- * @throws HttpError when the body is cut off or too long.
+ * @param maxBytes - Maximum size of the body, in bytes; the connection of a larger one is reset.
+ * @throws HttpError if the body is incomplete or too large.
  * @example
  * const offers = JSON.parse(await readReplyText(reply, 1_000_000));
  */
-export async function readReplyText(reply: HttpReply, mostBytes = Number.POSITIVE_INFINITY): Promise<string> {
+export async function readReplyText(reply: HttpReply, maxBytes = Number.POSITIVE_INFINITY): Promise<string> {
     const chunks: Uint8Array[] = [];
     let size = 0;
     for await (const chunk of reply.body) {
         size += chunk.length;
-        if (size > mostBytes) {
+        if (size > maxBytes) {
             reply.reset();
-            throw new HttpError("malformed", true, `a body of more than ${mostBytes} bytes`);
+            throw new HttpError("malformed", true, `a body of more than ${maxBytes} bytes`);
         }
         chunks.push(chunk);
     }
--- a/src/ports/index.ts
+++ b/src/ports/index.ts
@@ -1,22 +1,22 @@
 /**
- * What the system takes from the machine: time, chance, byte streams, HTTP and files. Each port is an abstract class with
- * a real form and one in memory, so that a whole fleet runs in one process under virtual time.
+ * Ports to the operating system: time, randomness, byte streams, HTTP and files. Each port is an abstract class with a real
+ * implementation and an in-memory one, so that a whole fleet can run in one process under virtual time.
  */
 export * from "./clock/index.js";
 export * from "./disk/index.js";
 export * from "./fileDisk/index.js";
 export * from "./http/index.js";
 export * from "./memoryDisk/index.js";
+export * from "./memoryFabric/index.js";
 export * from "./memoryHost/index.js";
 export * from "./memoryHttp/index.js";
-export * from "./memoryNetwork/index.js";
 export * from "./network/index.js";
 export * from "./nodeHttp/index.js";
 export * from "./random/index.js";
 export * from "./seededRandom/index.js";
 export * from "./sleepDetector/index.js";
-export * from "./standardOutput/index.js";
 export * from "./systemClock/index.js";
 export * from "./systemRandom/index.js";
 export * from "./tcpNetwork/index.js";
 export * from "./virtualClock/index.js";
+export * from "./writeToStandardOutput/index.js";
--- a/src/ports/memoryDisk/index.ts
+++ b/src/ports/memoryDisk/index.ts
@@ -1,33 +1,34 @@
 import { Clock } from "../clock/index.js";
 import { AppendFile, Disk, DiskError, DiskLock } from "../disk/index.js";
 
+/** The content of one file, split by whether it survives a crash. */
 interface StoredFile {
     synced: Uint8Array;
     unsynced: Uint8Array;
 }
 
 /**
- * A disk inside the process that loses what was not synced, fills up, slows down and gets damaged on demand.
+ * In-memory disk for tests that simulates lost unsynced writes, a full disk, slow syncs and corruption.
  *
  * @example
  * const disk = new MemoryDisk(clock);
  * disk.crash(3); // three unsynced bytes of each file survive: a torn tail
  */
 export class MemoryDisk extends Disk {
-    /** How long each sync takes, in milliseconds. */
+    /** Duration of each sync, in milliseconds. */
     syncMs = 0;
-    /** How many bytes fit; what goes beyond fails with "full". */
+    /** Total size in bytes; a write beyond it fails with reason `full`. */
     capacity = Number.POSITIVE_INFINITY;
     private files = new Map<string, StoredFile>();
-    private locked = false;
+    private isLocked = false;
 
-    /** @param clock - Time for slow syncs. */
+    /** @param clock - Times slow syncs. */
     constructor(private readonly clock: Clock) {
         super();
     }
 
     async makeFolder(): Promise<void> {
-        // Folders exist once a file names them.
+        // Folders are implied by the paths of their files.
     }
 
     async list(path: string): Promise<string[]> {
@@ -43,12 +44,12 @@
 
     async openAppend(path: string): Promise<AppendFile> {
         if (!this.files.has(path)) this.files.set(path, { synced: new Uint8Array(), unsynced: new Uint8Array() });
-        return new MemoryAppend(this, path);
+        return new MemoryAppendFile(this, path);
     }
 
     async replace(path: string, bytes: Uint8Array): Promise<void> {
-        this.reserve(bytes.length);
-        // A crash during the sync leaves the old content, and the write goes nowhere.
+        this.ensureCapacity(bytes.length);
+        // A crash during the sync replaces `this.files`, so that this write is lost and the old content stays.
         const { files } = this;
         await this.waitForSync();
         files.set(path, { synced: Uint8Array.from(bytes), unsynced: new Uint8Array() });
@@ -59,38 +60,38 @@
     }
 
     async lock(): Promise<DiskLock> {
-        if (this.locked) throw new DiskError("locked", "the data folder is in use by another process");
-        this.locked = true;
+        if (this.isLocked) throw new DiskError("locked", "the data folder is in use by another process");
+        this.isLocked = true;
         return {
             release: async () => {
-                this.locked = false;
+                this.isLocked = false;
             },
         };
     }
 
     /**
-     * What a power cut leaves: the synced bytes, and of each file the first few unsynced ones. Files opened before the
-     * crash write to nowhere.
+     * Simulates a power failure: keeps the synced bytes of each file and the first few unsynced ones. Writes to files opened
+     * before the crash have no effect.
      *
-     * @param keptUnsynced - How many unsynced bytes of each file survive.
+     * @param keptUnsyncedBytes - Number of unsynced bytes of each file that survive.
      */
-    crash(keptUnsynced = 0): void {
+    crash(keptUnsyncedBytes = 0): void {
         const survivors = new Map<string, StoredFile>();
         for (const [path, file] of this.files) {
-            const kept = Buffer.concat([file.synced, file.unsynced.subarray(0, keptUnsynced)]);
+            const kept = Buffer.concat([file.synced, file.unsynced.subarray(0, keptUnsyncedBytes)]);
             survivors.set(path, { synced: kept, unsynced: new Uint8Array() });
         }
         this.files = survivors;
-        this.locked = false;
+        this.isLocked = false;
     }
 
-    /** Throws everything away, as a replaced disk does. */
+    /** Removes all files, as if the disk had been replaced. */
     wipe(): void {
         this.files = new Map();
-        this.locked = false;
+        this.isLocked = false;
     }
 
-    /** Flips one bit of a file. */
+    /** Flips one bit of a file's synced content, at a byte offset. */
     damage(path: string, offset: number): void {
         const file = this.files.get(path);
         if (!file || offset >= file.synced.length) throw new Error(`${path} has no synced byte ${offset}`);
@@ -101,7 +102,7 @@
         return this.files.get(path);
     }
 
-    reserve(size: number): void {
+    ensureCapacity(size: number): void {
         let used = size;
         for (const file of this.files.values()) used += file.synced.length + file.unsynced.length;
         if (used > this.capacity) throw new DiskError("full", "no space left");
@@ -112,7 +113,7 @@
     }
 }
 
-class MemoryAppend extends AppendFile {
+class MemoryAppendFile extends AppendFile {
     private readonly file: StoredFile;
 
     constructor(private readonly disk: MemoryDisk, path: string) {
@@ -125,7 +126,7 @@
     }
 
     async append(bytes: Uint8Array): Promise<void> {
-        this.disk.reserve(bytes.length);
+        this.disk.ensureCapacity(bytes.length);
         this.file.unsynced = Buffer.concat([this.file.unsynced, bytes]);
     }
 
@@ -143,6 +144,6 @@
     }
 
     async close(): Promise<void> {
-        // Nothing is held open.
+        // There is no file handle to close.
     }
 }
--- a/src/ports/memoryNetwork/index.ts
+++ b/src/ports/memoryFabric/index.ts
@@ -3,48 +3,49 @@
 import { Clock } from "../clock/index.js";
 import { Address, Connection, formatAddress, Listener, Network, NetworkError } from "../network/index.js";
 
-/** How long a byte takes from one host to another, in milliseconds. */
+/** Returns the one-way latency from one host to another, in milliseconds. */
 export type LatencyBetween = (from: string, to: string) => number;
 
-type Accept = (connection: Connection) => void;
+type AcceptHandler = (connection: Connection) => void;
 
 /**
- * A network inside one process, with cuts. A cut holds back what is sent, as TCP does, and delivers it after the cut
- * heals; `forget` makes the open connections of a pair silent for good, as a middlebox that lost its state does.
+ * In-memory network between simulated hosts, with link failures. A cut link holds back data and delivers it once healed,
+ * as TCP retransmission does. `forget` drops all further data on the open connections of two hosts, as a middlebox that has
+ * lost its state does.
  *
  * @example
  * const fabric = new MemoryFabric(clock, () => 1);
  * const network = fabric.network("10.0.0.1");
  */
 export class MemoryFabric {
-    private readonly listeners = new Map<string, Accept>();
+    private readonly listeners = new Map<string, AcceptHandler>();
     private readonly cuts = new Set<string>();
     private readonly pipes = new Set<Pipe>();
-    private readonly actions = new Map<string, () => void>();
+    private readonly connectActions = new Map<string, () => void>();
 
     /**
-     * @param clock - Time for the latencies.
-     * @param latency - One-way latency between two hosts.
+     * @param clock - Times the latencies.
+     * @param latency - Returns the one-way latency between two hosts, in milliseconds.
      */
     constructor(readonly clock: Clock, readonly latency: LatencyBetween) {}
 
-    /** The network as one host sees it. Addresses name hosts by this text. */
+    /** Returns the network port of one host; `host` is the host part of its addresses. */
     network(host: string): Network {
         return new MemoryNetwork(this, host);
     }
 
-    /** Holds back all that one host sends to another. One way only. */
+    /** Cuts the link from one host to another, in this direction only. */
     cut(from: string, to: string): void {
-        this.cuts.add(linkName(from, to));
+        this.cuts.add(linkKey(from, to));
     }
 
-    /** Ends a cut and delivers what was held back. */
+    /** Heals a cut link and delivers the data that was held back. */
     heal(from: string, to: string): void {
-        this.cuts.delete(linkName(from, to));
+        this.cuts.delete(linkKey(from, to));
         for (const pipe of this.pipes) pipe.flush();
     }
 
-    /** Cuts a host off from all others, both ways, or joins it again. */
+    /** Cuts, or heals, the links between a host and all others, in both directions. */
     isolate(host: string, others: readonly string[], isolated: boolean): void {
         for (const other of others) {
             if (other === host) continue;
@@ -59,14 +60,14 @@
         }
     }
 
-    /** Makes the connections now open between two hosts silent for good; new ones work. */
+    /** Drops all further data on the connections now open between two hosts; new connections work. */
     forget(a: string, b: string): void {
         for (const pipe of this.pipes) {
-            if ((pipe.from === a && pipe.to === b) || (pipe.from === b && pipe.to === a)) pipe.silence();
+            if ((pipe.from === a && pipe.to === b) || (pipe.from === b && pipe.to === a)) pipe.blackhole();
         }
     }
 
-    /** Ends each connection of a host and its listeners, as its crash does. */
+    /** Simulates a crash of a host: ends its connections and removes its listeners. */
     crash(host: string): void {
         for (const name of [...this.listeners.keys()]) {
             if (name.startsWith(`${host}:`)) this.listeners.delete(name);
@@ -76,23 +77,23 @@
         }
     }
 
-    /** Runs an action at the moment in which one host has next connected to another, before it sends anything. */
+    /** Runs an action once, when one host next connects to another, before any data is sent. */
     onceConnected(from: string, to: string, action: () => void): void {
-        this.actions.set(linkName(from, to), action);
+        this.connectActions.set(linkKey(from, to), action);
     }
 
-    /** Told of each connection that was opened. */
-    connected(from: string, to: string): void {
-        const action = this.actions.get(linkName(from, to));
-        this.actions.delete(linkName(from, to));
+    /** Runs the action registered by `onceConnected`, if any; called for each connection that is opened. */
+    notifyConnected(from: string, to: string): void {
+        const action = this.connectActions.get(linkKey(from, to));
+        this.connectActions.delete(linkKey(from, to));
         action?.();
     }
 
     isCut(from: string, to: string): boolean {
-        return this.cuts.has(linkName(from, to));
+        return this.cuts.has(linkKey(from, to));
     }
 
-    register(address: Address, accept: Accept): void {
+    register(address: Address, accept: AcceptHandler): void {
         const name = formatAddress(address);
         if (this.listeners.has(name)) throw new NetworkError("refused", `${name} is in use`);
         this.listeners.set(name, accept);
@@ -102,7 +103,7 @@
         this.listeners.delete(formatAddress(address));
     }
 
-    acceptor(address: Address): Accept | undefined {
+    findListener(address: Address): AcceptHandler | undefined {
         return this.listeners.get(formatAddress(address));
     }
 
@@ -113,7 +114,7 @@
     }
 }
 
-function linkName(from: string, to: string): string {
+function linkKey(from: string, to: string): string {
     return `${from}>${to}`;
 }
 
@@ -124,7 +125,7 @@
         super();
     }
 
-    async listen(address: Address, accept: Accept): Promise<Listener> {
+    async listen(address: Address, accept: AcceptHandler): Promise<Listener> {
         const bound = { host: address.host, port: address.port === 0 ? this.nextPort++ : address.port };
         const accepted = new Set<Connection>();
         this.fabric.register(bound, connection => {
@@ -142,29 +143,29 @@
 
     async connect(address: Address, timeoutMs: number): Promise<Either<NetworkError, Connection>> {
         const { fabric, host } = this;
-        const roundTrip = fabric.latency(host, address.host) + fabric.latency(address.host, host);
+        const roundTripMs = fabric.latency(host, address.host) + fabric.latency(address.host, host);
         if (fabric.isCut(host, address.host) || fabric.isCut(address.host, host)) {
             await fabric.clock.sleep(timeoutMs);
             return Left(new NetworkError("timeout", formatAddress(address)));
         }
-        await fabric.clock.sleep(Math.min(roundTrip, timeoutMs));
-        const accept = fabric.acceptor(address);
+        await fabric.clock.sleep(Math.min(roundTripMs, timeoutMs));
+        const accept = fabric.findListener(address);
         if (!accept) return Left(new NetworkError("refused", formatAddress(address)));
-        const there = fabric.openPipe(host, address.host);
-        const back = fabric.openPipe(address.host, host);
-        accept(new MemoryConnection(host, back, there));
-        fabric.connected(host, address.host);
-        return Right(new MemoryConnection(address.host, there, back));
+        const outgoing = fabric.openPipe(host, address.host);
+        const incoming = fabric.openPipe(address.host, host);
+        accept(new MemoryConnection(host, incoming, outgoing));
+        fabric.notifyConnected(host, address.host);
+        return Right(new MemoryConnection(address.host, outgoing, incoming));
     }
 }
 
-/** One direction of a connection. Bytes arrive in order, each after the latency in force when it was sent. */
+/** One direction of a connection. Data arrives in order, after the latency that applied when it was sent. */
 class Pipe {
     readonly received = new Mailbox<Uint8Array>();
     private held: Uint8Array[] = [];
-    private lastArrival = 0;
-    private silent = false;
-    private closing = false;
+    private lastArrivalMs = 0;
+    private isBlackholed = false;
+    private isClosing = false;
 
     constructor(
         private readonly fabric: MemoryFabric,
@@ -174,7 +175,7 @@
     ) {}
 
     send(bytes: Uint8Array): void {
-        if (this.silent) return;
+        if (this.isBlackholed) return;
         if (this.held.length > 0 || this.fabric.isCut(this.from, this.to)) {
             this.held.push(bytes);
             return;
@@ -187,11 +188,11 @@
         const held = this.held;
         this.held = [];
         for (const bytes of held) this.deliver(bytes);
-        if (this.closing) this.close();
+        if (this.isClosing) this.close();
     }
 
-    silence(): void {
-        this.silent = true;
+    blackhole(): void {
+        this.isBlackholed = true;
     }
 
     heldBytes(): number {
@@ -199,8 +200,8 @@
     }
 
     close(): void {
-        if (this.silent) return;
-        this.closing = true;
+        if (this.isBlackholed) return;
+        this.isClosing = true;
         if (this.held.length > 0 || this.fabric.isCut(this.from, this.to)) return;
         this.schedule(() => this.end());
     }
@@ -213,15 +214,15 @@
 
     private deliver(bytes: Uint8Array): void {
         this.schedule(() => {
-            if (!this.silent) this.received.put(bytes);
+            if (!this.isBlackholed) this.received.put(bytes);
         });
     }
 
     private schedule(action: () => void): void {
         const { clock } = this.fabric;
-        const arrival = Math.max(clock.monotonic() + this.fabric.latency(this.from, this.to), this.lastArrival);
-        this.lastArrival = arrival;
-        clock.after(arrival - clock.monotonic(), action);
+        const arrivalMs = Math.max(clock.monotonic() + this.fabric.latency(this.from, this.to), this.lastArrivalMs);
+        this.lastArrivalMs = arrivalMs;
+        clock.after(arrivalMs - clock.monotonic(), action);
     }
 }
 
@@ -248,10 +249,10 @@
     }
 
     reset(): void {
-        // What is held back is thrown away; the other end learns of the reset unless the link is cut.
+        // Data that is held back is dropped. The remote end is notified of the reset unless the link is cut.
         const reachable = !this.outgoing["fabric"].isCut(this.outgoing.from, this.outgoing.to);
         this.incoming.end();
         if (reachable) this.outgoing.close();
-        else this.outgoing.silence();
+        else this.outgoing.blackhole();
     }
 }
--- a/src/ports/memoryHost/index.ts
+++ b/src/ports/memoryHost/index.ts
@@ -3,20 +3,20 @@
 import { AppendFile, Disk, DiskLock } from "../disk/index.js";
 import { Address, Connection, Listener, Network, NetworkError } from "../network/index.js";
 
-/** What a process on a host is given. */
+/** Options of `MemoryHost`. */
 export interface MemoryHostOptions {
-    /** True time. */
+    /** The simulation's clock, which all hosts share. */
     readonly clock: Clock;
     readonly network: Network;
     readonly disk: Disk;
-    /** How fast the host's monotonic clock runs: 1.01 gains a hundredth. */
+    /** Rate of the host's monotonic clock relative to `clock`; 1.01 runs 1% fast. */
     readonly clockRate?: number;
 }
 
 /**
- * The ports as one process sees them, from its start to its end. The process can be frozen, as by SIGSTOP: its clock goes on, but
- * neither timers nor bytes nor disks wake it before it is thawed. Once it is killed, nothing wakes it again and nothing
- * that it does has an effect.
+ * Clock, network and disk of one simulated process, from its start to its end. The process can be frozen, as by SIGSTOP:
+ * its clock goes on, but timers, received bytes and disk results are deferred until it is thawed. Once it is killed, no
+ * callback runs any more and its own sends, closes and disk operations have no effect.
  *
  * @example
  * const host = new MemoryHost({ clock, network: fabric.network("10.0.0.1"), disk });
@@ -26,7 +26,7 @@
     readonly clock: HostClock;
     readonly network: Network;
     readonly disk: Disk;
-    private held: (() => void)[] = [];
+    private deferred: (() => void)[] = [];
     private isFrozen = false;
     private isKilled = false;
 
@@ -44,78 +44,83 @@
         return this.isFrozen;
     }
 
+    /** Defers all callbacks until `thaw`. */
     freeze(): void {
         this.isFrozen = true;
     }
 
-    /** Runs what was held back, in its order. */
+    /** Runs the deferred callbacks, in order. */
     thaw(): void {
         this.isFrozen = false;
-        const held = this.held;
-        this.held = [];
-        for (const action of held) action();
+        const deferred = this.deferred;
+        this.deferred = [];
+        for (const action of deferred) action();
     }
 
+    /** Ends the process: drops deferred and later callbacks. */
     kill(): void {
         this.isKilled = true;
-        this.held = [];
+        this.deferred = [];
     }
 
-    /** Runs an action when the process is able to: at once, after the thaw, or never. */
-    run(action: () => void): void {
+    /** Runs an action at once, after the thaw if the process is frozen, or never if it was killed. */
+    runWhenRunnable(action: () => void): void {
         if (this.isKilled) return;
-        if (this.isFrozen) this.held.push(action);
+        if (this.isFrozen) this.deferred.push(action);
         else action();
     }
 
-    /** Settles as the work does, but only when the process is able to notice. */
-    notice<Value>(work: Promise<Value>): Promise<Value> {
+    /** Returns a promise that settles like `work`, but only while the process is running. */
+    settleWhenRunnable<Value>(work: Promise<Value>): Promise<Value> {
         return new Promise((resolve, reject) => {
-            work.then(value => this.run(() => resolve(value)), err => this.run(() => reject(err as Error)));
+            work.then(
+                value => this.runWhenRunnable(() => resolve(value)),
+                err => this.runWhenRunnable(() => reject(err as Error)),
+            );
         });
     }
 }
 
-/** A host's clock, which may run fast or slow. */
+/** A host's clock, which may run fast or slow and whose wall time may be stepped. */
 export class HostClock extends Clock {
-    private trueBase = 0;
-    private base = 0;
-    private sleptMs = 0;
+    private baseTrueMs = 0;
+    private baseHostMs = 0;
+    private wallOffsetMs = 0;
 
     constructor(private readonly host: MemoryHost, private readonly clock: Clock, private rate: number) {
         super();
     }
 
-    /** Runs faster or slower from now on; calls that are due already keep their time. */
+    /** Changes the clock's rate; timers that are already scheduled keep their time. */
     setRate(rate: number): void {
-        this.base = this.monotonic();
-        this.trueBase = this.clock.monotonic();
+        this.baseHostMs = this.monotonic();
+        this.baseTrueMs = this.clock.monotonic();
         this.rate = rate;
     }
 
-    /** Sets the wall clock forward, which looks as if the machine had slept. */
+    /** Steps the wall clock forward, in milliseconds. Processes can't tell this from a suspension of the machine. */
     setForward(ms: number): void {
-        this.sleptMs += ms;
+        this.wallOffsetMs += ms;
     }
 
     now(): number {
-        return this.clock.now() + this.sleptMs;
+        return this.clock.now() + this.wallOffsetMs;
     }
 
     override elapsed(): number {
-        return this.monotonic() + this.sleptMs;
+        return this.monotonic() + this.wallOffsetMs;
     }
 
     monotonic(): number {
-        return this.base + (this.clock.monotonic() - this.trueBase) * this.rate;
+        return this.baseHostMs + (this.clock.monotonic() - this.baseTrueMs) * this.rate;
     }
 
     after(ms: number, callback: () => void): Timer {
         let isCancelled = false;
-        const runIfWanted = (): void => {
+        const runUnlessCancelled = (): void => {
             if (!isCancelled) callback();
         };
-        const timer = this.clock.after(ms / this.rate, () => this.host.run(runIfWanted));
+        const timer = this.clock.after(ms / this.rate, () => this.host.runWhenRunnable(runUnlessCancelled));
         return {
             cancel: () => {
                 isCancelled = true;
@@ -132,8 +137,8 @@
 
     listen(address: Address, accept: (connection: Connection) => void): Promise<Listener> {
         const { host } = this;
-        return host.notice(this.network.listen(address, connection => {
-            host.run(() => accept(new HostConnection(host, connection)));
+        return host.settleWhenRunnable(this.network.listen(address, connection => {
+            host.runWhenRunnable(() => accept(new HostConnection(host, connection)));
         }));
     }
 
@@ -142,7 +147,7 @@
         const wrapped = connecting.then(result => {
             return result.map((connection): Connection => new HostConnection(this.host, connection));
         });
-        return this.host.notice(wrapped);
+        return this.host.settleWhenRunnable(wrapped);
     }
 }
 
@@ -159,7 +164,7 @@
     }
 
     receive(): Promise<Uint8Array | undefined> {
-        return this.host.notice(this.connection.receive());
+        return this.host.settleWhenRunnable(this.connection.receive());
     }
 
     pendingBytes(): number {
@@ -181,36 +186,36 @@
     }
 
     makeFolder(path: string): Promise<void> {
-        return this.act(() => this.disk.makeFolder(path));
+        return this.perform(() => this.disk.makeFolder(path));
     }
 
     list(path: string): Promise<string[]> {
-        return this.act(() => this.disk.list(path));
+        return this.perform(() => this.disk.list(path));
     }
 
     read(path: string): Promise<Uint8Array | undefined> {
-        return this.act(() => this.disk.read(path));
+        return this.perform(() => this.disk.read(path));
     }
 
     async openAppend(path: string): Promise<AppendFile> {
-        return new HostFile(this, await this.act(() => this.disk.openAppend(path)));
+        return new HostFile(this, await this.perform(() => this.disk.openAppend(path)));
     }
 
     replace(path: string, bytes: Uint8Array): Promise<void> {
-        return this.act(() => this.disk.replace(path, bytes));
+        return this.perform(() => this.disk.replace(path, bytes));
     }
 
     remove(path: string): Promise<void> {
-        return this.act(() => this.disk.remove(path));
+        return this.perform(() => this.disk.remove(path));
     }
 
     lock(): Promise<DiskLock> {
-        return this.act(() => this.disk.lock());
+        return this.perform(() => this.disk.lock());
     }
 
-    act<Value>(work: () => Promise<Value>): Promise<Value> {
+    perform<Value>(work: () => Promise<Value>): Promise<Value> {
         if (this.host.killed) return new Promise(() => undefined);
-        return this.host.notice(work());
+        return this.host.settleWhenRunnable(work());
     }
 }
 
@@ -224,18 +229,18 @@
     }
 
     append(bytes: Uint8Array): Promise<void> {
-        return this.disk.act(() => this.file.append(bytes));
+        return this.disk.perform(() => this.file.append(bytes));
     }
 
     sync(): Promise<void> {
-        return this.disk.act(() => this.file.sync());
+        return this.disk.perform(() => this.file.sync());
     }
 
     truncate(size: number): Promise<void> {
-        return this.disk.act(() => this.file.truncate(size));
+        return this.disk.perform(() => this.file.truncate(size));
     }
 
     close(): Promise<void> {
-        return this.disk.act(() => this.file.close());
+        return this.disk.perform(() => this.file.close());
     }
 }
--- a/src/ports/memoryHttp/index.ts
+++ b/src/ports/memoryHttp/index.ts
@@ -14,28 +14,29 @@
     HttpRequest,
     HttpResponse,
 } from "../http/index.js";
-import { MemoryFabric } from "../memoryNetwork/index.js";
+import { MemoryFabric } from "../memoryFabric/index.js";
 import { Address, formatAddress, NetworkError } from "../network/index.js";
 
-/** The servers of one process-wide in-memory network. */
+/** HTTP servers and running exchanges of an in-memory network that all simulated hosts share. */
 export class MemoryWeb {
+    /** Handlers by `host:port`. */
     readonly servers = new Map<string, HttpHandler>();
 
-    /** @param fabric - Whose latencies and cuts hold for requests too. */
+    /** @param fabric - The network whose latencies and cuts apply to requests. */
     constructor(readonly fabric: MemoryFabric) {}
 
-    /** HTTP as one host sees it. */
+    /** Returns the HTTP port of one host. */
     http(host: string): Http {
         return new MemoryHttp(this, host);
     }
 
-    /** Stops all servers of a host, as its crash does; answers under way are cut off. */
+    /** Simulates a crash of a host: stops its servers and cuts off its running exchanges, as client and as server. */
     crash(host: string): void {
         for (const name of [...this.servers.keys()]) {
             if (name.startsWith(`${host}:`)) this.servers.delete(name);
         }
         for (const exchange of [...this.exchanges]) {
-            if (exchange.client === host || exchange.server === host) exchange.cutOff();
+            if (exchange.client === host || exchange.server === host) exchange.failClient();
         }
     }
 
@@ -45,79 +46,81 @@
 class MemoryHttp extends Http {
     private nextPort = 50_000;
 
-    constructor(private readonly web: MemoryWeb, private readonly host: string) {
+    constructor(private readonly httpFabric: MemoryWeb, private readonly host: string) {
         super();
     }
 
     async serve(address: Address, _limits: HttpLimits, handler: HttpHandler): Promise<HttpListener> {
         const bound = { host: address.host, port: address.port === 0 ? this.nextPort++ : address.port };
-        const name = formatAddress(bound);
-        if (this.web.servers.has(name)) throw new NetworkError("refused", `${name} is in use`);
-        this.web.servers.set(name, handler);
-        this.web.fabric.register(bound, connection => void serveRawConnection(connection, handler));
+        const hostPort = formatAddress(bound);
+        if (this.httpFabric.servers.has(hostPort)) throw new NetworkError("refused", `${hostPort} is in use`);
+        this.httpFabric.servers.set(hostPort, handler);
+        this.httpFabric.fabric.register(bound, connection => void serveRawConnection(connection, handler));
         const stopAccepting = async (): Promise<void> => {
-            this.web.servers.delete(name);
-            this.web.fabric.unregister(bound);
+            this.httpFabric.servers.delete(hostPort);
+            this.httpFabric.fabric.unregister(bound);
         };
         return { address: bound, setLimits: () => undefined, stopAccepting, close: stopAccepting };
     }
 
     async send(call: HttpCall): Promise<Either<HttpError, HttpReply>> {
-        const { fabric, servers } = this.web;
-        const there = call.address.host;
+        const { fabric, servers } = this.httpFabric;
+        const serverHost = call.address.host;
         const target = formatAddress(call.address);
         if (call.signal?.aborted) return Left(new HttpError("aborted", false, target));
-        if (fabric.isCut(this.host, there) || fabric.isCut(there, this.host)) {
+        if (fabric.isCut(this.host, serverHost) || fabric.isCut(serverHost, this.host)) {
             await fabric.clock.sleep(call.connectTimeoutMs, call.signal);
             return Left(new HttpError(call.signal?.aborted ? "aborted" : "timeout", false, target));
         }
-        await fabric.clock.sleep(fabric.latency(this.host, there));
+        await fabric.clock.sleep(fabric.latency(this.host, serverHost));
         const handler = servers.get(target);
         if (!handler) return Left(new HttpError("refused", false, target));
-        return new Exchange(this.web, this.host, call).run(handler);
+        return new Exchange(this.httpFabric, this.host, call).run(handler);
     }
 }
 
-type Part =
+/** A message from the server to the client after the response's headers. */
+type BodyPart =
     | { readonly kind: "chunk"; readonly bytes: Uint8Array; }
     | { readonly kind: "end"; }
     | { readonly kind: "cut"; };
 
-interface Head {
+/** Status and headers of a response. */
+interface ResponseHead {
     readonly status: number;
     readonly headers: HeaderList;
 }
 
-/** One request and its answer, over links that may be cut while it runs. */
+/** One request and its response, over links that may be cut meanwhile. */
 class Exchange {
     readonly client: string;
     readonly server: string;
-    private readonly parts = new Mailbox<Part>();
-    private readonly closed = new AbortController();
-    private resolveHead!: (head: Either<HttpError, Head>) => void;
-    private readonly head = new Promise<Either<HttpError, Head>>(resolve => {
+    private readonly parts = new Mailbox<BodyPart>();
+    private readonly requestClosed = new AbortController();
+    private resolveHead!: (head: Either<HttpError, ResponseHead>) => void;
+    private readonly head = new Promise<Either<HttpError, ResponseHead>>(resolve => {
         this.resolveHead = resolve;
     });
-    private readonly held: (() => void)[] = [];
-    private over = false;
-    private cause: HttpError["reason"] = "closed";
+    private readonly heldActions: (() => void)[] = [];
+    private isFinished = false;
+    private failureReason: HttpError["reason"] = "closed";
 
-    constructor(private readonly web: MemoryWeb, client: string, private readonly call: HttpCall) {
+    constructor(private readonly httpFabric: MemoryWeb, client: string, private readonly call: HttpCall) {
         this.client = client;
         this.server = call.address.host;
-        web.exchanges.add(this);
+        httpFabric.exchanges.add(this);
     }
 
     async run(handler: HttpHandler): Promise<Either<HttpError, HttpReply>> {
         const { call } = this;
-        const { clock } = this.web.fabric;
-        const limit = clock.after(call.headTimeoutMs, () => this.abandon("timeout"));
+        const { clock } = this.httpFabric.fabric;
+        const headTimer = clock.after(call.headTimeoutMs, () => this.abandon("timeout"));
         const abort = (): void => this.abandon("aborted");
         call.signal?.addEventListener("abort", abort);
         const res = new MemoryResponse(this);
-        handler(new MemoryRequest(call, this.client, this.closed.signal), res).catch(() => res.fail());
+        handler(new MemoryRequest(call, this.client, this.requestClosed.signal), res).catch(() => res.fail());
         const head = await this.head;
-        limit.cancel();
+        headTimer.cancel();
         return head.map(({ status, headers }) => ({
             status,
             headers,
@@ -126,59 +129,61 @@
         }));
     }
 
-    /** Runs an action at the client's end once the link lets it through. */
-    toClient(action: () => void): void {
-        const { fabric } = this.web;
-        if (this.held.length > 0 || fabric.isCut(this.server, this.client)) {
-            this.held.push(action);
-            this.waitForHeal();
+    /** Runs an action on the client's side after the link's latency, in order; waits while the link is cut. */
+    runAtClient(action: () => void): void {
+        const { fabric } = this.httpFabric;
+        if (this.heldActions.length > 0 || fabric.isCut(this.server, this.client)) {
+            this.heldActions.push(action);
+            this.waitUntilHealed();
             return;
         }
         fabric.clock.after(fabric.latency(this.server, this.client), action);
     }
 
-    giveHead(head: Head): void {
-        this.toClient(() => this.resolveHead(Right(head)));
+    sendHead(head: ResponseHead): void {
+        this.runAtClient(() => this.resolveHead(Right(head)));
     }
 
-    givePart(part: Part): void {
-        this.toClient(() => {
+    sendPart(part: BodyPart): void {
+        this.runAtClient(() => {
             this.parts.put(part);
             if (part.kind !== "chunk") this.finish();
         });
     }
 
-    cutOff(): void {
+    /** Ends the exchange with an error on the client's side. */
+    failClient(): void {
         this.parts.put({ kind: "cut" });
-        this.resolveHead(Left(new HttpError(this.cause, true, formatAddress(this.call.address))));
+        this.resolveHead(Left(new HttpError(this.failureReason, true, formatAddress(this.call.address))));
         this.finish();
     }
 
-    private abandon(cause: HttpError["reason"]): void {
-        if (this.over) return;
-        this.cause = cause;
-        this.cutOff();
+    private abandon(reason: HttpError["reason"]): void {
+        if (this.isFinished) return;
+        this.failureReason = reason;
+        this.failClient();
     }
 
     private finish(): void {
-        if (this.over) return;
-        this.over = true;
-        this.web.exchanges.delete(this);
-        const { fabric } = this.web;
-        fabric.clock.after(fabric.latency(this.client, this.server), () => this.closed.abort());
+        if (this.isFinished) return;
+        this.isFinished = true;
+        this.httpFabric.exchanges.delete(this);
+        const { fabric } = this.httpFabric;
+        fabric.clock.after(fabric.latency(this.client, this.server), () => this.requestClosed.abort());
     }
 
-    private waitForHeal(): void {
-        const { fabric } = this.web;
-        if (this.held.length !== 1) return;
+    /** Polls until the link is healed, then runs the held actions. */
+    private waitUntilHealed(): void {
+        const { fabric } = this.httpFabric;
+        if (this.heldActions.length !== 1) return;
         const poll = (): void => {
-            if (this.over) return;
+            if (this.isFinished) return;
             if (fabric.isCut(this.server, this.client)) {
                 fabric.clock.after(1, poll);
                 return;
             }
-            const actions = this.held.splice(0);
-            for (const action of actions) this.toClient(action);
+            const actions = this.heldActions.splice(0);
+            for (const action of actions) this.runAtClient(action);
         };
         fabric.clock.after(1, poll);
     }
@@ -187,7 +192,7 @@
         for (;;) {
             const part = await this.parts.take();
             if (part === undefined || part.kind === "end") return;
-            if (part.kind === "cut") throw new HttpError(this.cause, true, formatAddress(this.call.address));
+            if (part.kind === "cut") throw new HttpError(this.failureReason, true, formatAddress(this.call.address));
             yield part.bytes;
         }
     }
@@ -213,38 +218,38 @@
 }
 
 class MemoryResponse extends HttpResponse {
-    private headSent = false;
-    private ended = false;
+    private isHeadSent = false;
+    private isEnded = false;
 
     constructor(private readonly exchange: Exchange) {
         super();
     }
 
     head(status: number, headers: HeaderList): void {
-        this.headSent = true;
-        this.exchange.giveHead({ status, headers });
+        this.isHeadSent = true;
+        this.exchange.sendHead({ status, headers });
     }
 
     write(chunk: string | Uint8Array): Promise<void> {
-        if (!this.ended) this.exchange.givePart({ kind: "chunk", bytes: toBytes(chunk) });
+        if (!this.isEnded) this.exchange.sendPart({ kind: "chunk", bytes: toBytes(chunk) });
         return Promise.resolve();
     }
 
     end(chunk?: string | Uint8Array): void {
-        if (this.ended) return;
+        if (this.isEnded) return;
         if (chunk !== undefined) void this.write(chunk);
-        this.ended = true;
-        this.exchange.givePart({ kind: "end" });
+        this.isEnded = true;
+        this.exchange.sendPart({ kind: "end" });
     }
 
     reset(): void {
-        this.ended = true;
-        this.exchange.toClient(() => this.exchange.cutOff());
+        this.isEnded = true;
+        this.exchange.runAtClient(() => this.exchange.failClient());
     }
 
-    /** A handler that threw: a plain 500 if nothing went out, else a cut connection. */
+    /** Handles an error thrown by the handler: sends a 500 if no headers were sent, else cuts the connection. */
     fail(): void {
-        if (this.headSent) {
+        if (this.isHeadSent) {
             this.reset();
             return;
         }
--- a/src/ports/network/index.ts
+++ b/src/ports/network/index.ts
@@ -1,50 +1,50 @@
 import { Either } from "purify-ts";
 
-/** Where a process listens: an IP number and a port. */
+/** Address at which a process listens: an IP address or host name, and a port. */
 export interface Address {
     readonly host: string;
     readonly port: number;
 }
 
-/** What went wrong below the wire: nothing of the message is known to have arrived. */
+/** A failure of a connection; it is unknown whether any data that was sent has arrived. */
 export class NetworkError extends Error {
-    /** @param reason - What the operating system said, in a word; `refused`: the other host has nobody who listens there. */
+    /** @param reason - The class of failure; `refused`: no process listens at the address, or it can't be listened at. */
     constructor(readonly reason: "refused" | "timeout" | "closed" | "reset", detail: string) {
         super(`${reason}: ${detail}`);
     }
 }
 
-/** One byte stream between two processes. */
+/** A byte stream between two processes. */
 export abstract class Connection {
-    /** The other end, for logs. */
+    /** Address of the remote end, for logs. */
     abstract readonly remote: string;
 
     /**
-     * Queues bytes to be sent. Bytes given to a closed connection are dropped.
+     * Queues bytes for sending. On a closed connection they are dropped.
      *
-     * @param bytes - What to send; not copied.
+     * @param bytes - The bytes, which are not copied.
      */
     abstract send(bytes: Uint8Array): void;
 
-    /** The next bytes, in order, or undefined once the connection has ended for whatever reason. */
+    /** Returns the next bytes, in order, or undefined once the connection has ended for any reason. */
     abstract receive(): Promise<Uint8Array | undefined>;
 
-    /** How many bytes wait to be taken by the operating system. */
+    /** Returns the number of queued bytes that the operating system has not accepted yet. */
     abstract pendingBytes(): number;
 
-    /** Ends the connection after what is queued. */
+    /** Closes the connection after the queued bytes are sent. */
     abstract close(): void;
 
-    /** Ends the connection at once and throws away what is queued, in the kernel too. */
+    /** Closes the connection at once and discards queued bytes, including those in the kernel. */
     abstract reset(): void;
 }
 
 /** A listening socket. */
 export abstract class Listener {
-    /** The address in use, with the port the system chose when 0 was asked for. */
+    /** The bound address; where port 0 was requested, with the port that the operating system chose. */
     abstract readonly address: Address;
 
-    /** Stops listening and resets the connections accepted. */
+    /** Stops listening and resets the accepted connections. */
     abstract close(): Promise<void>;
 }
 
@@ -56,25 +56,25 @@
  */
 export abstract class Network {
     /**
-     * Accepts connections.
+     * Listens for connections.
      *
-     * @param address - Where; port 0 means any free one.
+     * @param address - The address to listen at; port 0 means any free port.
      * @param accept - Called with each new connection.
-     * @throws NetworkError when the address is taken.
+     * @throws NetworkError if the address can't be bound.
      */
     abstract listen(address: Address, accept: (connection: Connection) => void): Promise<Listener>;
 
     /**
      * Opens a connection.
      *
-     * @param address - Where to.
-     * @param timeoutMs - How long to try, in milliseconds.
+     * @param address - The address to connect to.
+     * @param timeoutMs - Timeout, in milliseconds.
      */
     abstract connect(address: Address, timeoutMs: number): Promise<Either<NetworkError, Connection>>;
 }
 
 /**
- * Writes an address as text.
+ * Formats an address as `host:port`.
  *
  * @example
  * formatAddress({ host: "127.0.0.1", port: 80 }); // "127.0.0.1:80"
@@ -84,10 +84,10 @@
 }
 
 /**
- * Reads an address written as `IP:port`.
+ * Parses an address written as `host:port`.
  *
  * @param text - For example `10.0.0.1:8080`.
- * @returns The address, or undefined when the text is not one.
+ * @returns The address, or undefined if the text is not valid.
  * @example
  * parseAddress("10.0.0.1:8080");
  */
--- a/src/ports/nodeHttp/index.ts
+++ b/src/ports/nodeHttp/index.ts
@@ -15,27 +15,27 @@
     HttpResponse,
 } from "../http/index.js";
 import { Address, formatAddress, NetworkError } from "../network/index.js";
-import { answerMalformed, endUnreadRequests } from "../serverGuards/index.js";
+import { answerClientErrors, limitBodyDiscard } from "../serverGuards/index.js";
 
-/** A pooled connection idle for longer than this is not used again: something between may have forgotten it. */
-const POOL_IDLE_MS = 2_000;
-/** As above, for requests that must not be lost between two ends that disagree on whether the connection is open. */
-const RECENT_IDLE_MS = 300;
-const POOL_SOCKETS_PER_ADDRESS = 256;
-/** A caller's connection that is idle for longer is closed where no limit says otherwise: Node's own default. */
-const DEFAULT_IDLE_MS = 5_000;
-/** Connections are looked through for requests that come too slowly so many times within the time that one may take. */
-const CHECKS_PER_LIMIT = 6;
+/** Maximum idle time of a pooled connection: a middlebox may have dropped its state for one that was idle for longer. */
+const MAX_POOL_IDLE_MS = 2_000;
+/** Maximum idle time of a pooled connection for `recentOnly` requests, which must not be lost on a connection that the server has closed. */
+const MAX_RECENT_IDLE_MS = 300;
+const MAX_FREE_SOCKETS_PER_ADDRESS = 256;
+/** Maximum idle time of a caller's connection where the limits have none: Node's default. */
+const DEFAULT_KEEP_ALIVE_MS = 5_000;
+/** Number of checks for timed-out requests within the shortest request timeout. */
+const CHECKS_PER_TIMEOUT = 6;
 
 /**
- * HTTP by Node's own library on both sides.
+ * HTTP server and client on `node:http`.
  *
  * @example
  * const http = new NodeHttp();
  */
 export class NodeHttp extends Http {
-    private readonly pool = makePool(POOL_IDLE_MS);
-    private readonly recentPool = makePool(RECENT_IDLE_MS);
+    private readonly pool = makeAgent(MAX_POOL_IDLE_MS);
+    private readonly recentPool = makeAgent(MAX_RECENT_IDLE_MS);
 
     serve(address: Address, limits: HttpLimits, handler: HttpHandler): Promise<HttpListener> {
         const server = createServer({
@@ -43,13 +43,13 @@
             headersTimeout: limits.headerTimeoutMs,
             requestTimeout: limits.requestTimeoutMs,
             connectionsCheckingInterval: Math.ceil(
-                Math.min(limits.headerTimeoutMs, limits.requestTimeoutMs) / CHECKS_PER_LIMIT,
+                Math.min(limits.headerTimeoutMs, limits.requestTimeoutMs) / CHECKS_PER_TIMEOUT,
             ),
-            keepAliveTimeout: limits.idleTimeoutMs ?? DEFAULT_IDLE_MS,
+            keepAliveTimeout: limits.idleTimeoutMs ?? DEFAULT_KEEP_ALIVE_MS,
             noDelay: true,
-        }, (req, res) => void answer(new NodeRequest(req, res), new NodeResponse(res), handler));
-        answerMalformed(server);
-        endUnreadRequests(server);
+        }, (req, res) => void runHandler(new NodeRequest(req, res), new NodeResponse(res), handler));
+        answerClientErrors(server);
+        limitBodyDiscard(server);
         return new Promise((resolve, reject) => {
             server.once("error", err => reject(new NetworkError("refused", err.message)));
             server.listen(address.port, address.host, () => {
@@ -77,7 +77,7 @@
     send(call: HttpCall): Promise<Either<HttpError, HttpReply>> {
         if (call.signal?.aborted) return Promise.resolve(Left(new HttpError("aborted", false, "before sending")));
         return new Promise(resolve => {
-            let connected = false;
+            let isConnected = false;
             let hasFailed = false;
             let reason: HttpError["reason"] = "closed";
             const req = request({
@@ -85,39 +85,41 @@
                 port: call.address.port,
                 method: call.method,
                 path: call.path,
-                headers: completeHeaders(call).flat() as unknown as string[],
+                headers: addRequiredHeaders(call).flat() as unknown as string[],
                 agent: this.chooseAgent(call),
             });
-            const giveUp = (why: HttpError["reason"]): void => {
-                reason = why;
-                req.destroy(new Error(why));
+            const cancel = (failureReason: HttpError["reason"]): void => {
+                reason = failureReason;
+                req.destroy(new Error(failureReason));
             };
-            let limit = setTimeout(() => giveUp("timeout"), call.connectTimeoutMs);
-            const abort = (): void => giveUp("aborted");
+            let timer = setTimeout(() => cancel("timeout"), call.connectTimeoutMs);
+            const abort = (): void => cancel("aborted");
             call.signal?.addEventListener("abort", abort);
             req.on("socket", socket => {
                 const startHeadLimit = (): void => {
-                    connected = true;
-                    clearTimeout(limit);
-                    limit = setTimeout(() => giveUp("timeout"), call.headTimeoutMs);
+                    isConnected = true;
+                    clearTimeout(timer);
+                    timer = setTimeout(() => cancel("timeout"), call.headTimeoutMs);
                 };
                 if (socket.connecting) socket.once("connect", startHeadLimit);
                 else startHeadLimit();
             });
             req.on("error", err => {
                 hasFailed = true;
-                clearTimeout(limit);
+                clearTimeout(timer);
                 call.signal?.removeEventListener("abort", abort);
-                const why = connected || reason !== "closed" ? reason : "refused";
-                resolve(Left(new HttpError(why, connected, `${formatAddress(call.address)} ${err.message}`)));
+                const failureReason = isConnected || reason !== "closed" ? reason : "refused";
+                resolve(
+                    Left(new HttpError(failureReason, isConnected, `${formatAddress(call.address)} ${err.message}`)),
+                );
             });
             req.on("response", message => {
-                clearTimeout(limit);
-                const end = hasOwnEnd(message) ? undefined : new ConnectionEnd(message.socket);
+                clearTimeout(timer);
+                const end = isSelfDelimited(message) ? undefined : new ConnectionEndProbe(message.socket);
                 message.once("close", () => call.signal?.removeEventListener("abort", abort));
                 resolve(Right({
                     status: message.statusCode!,
-                    headers: pairHeaders(message.rawHeaders),
+                    headers: toHeaderList(message.rawHeaders),
                     body: readReplyBody(
                         message,
                         async () => hasFailed || (await end?.wasReset() ?? false),
@@ -131,30 +133,30 @@
     }
 }
 
-function makePool(idleMs: number): Agent {
-    return new GuardedAgent({ keepAlive: true, timeout: idleMs, maxFreeSockets: POOL_SOCKETS_PER_ADDRESS });
+function makeAgent(idleMs: number): Agent {
+    return new IdleDataGuardAgent({ keepAlive: true, timeout: idleMs, maxFreeSockets: MAX_FREE_SOCKETS_PER_ADDRESS });
 }
 
 /**
- * A pool that drops connections on which something comes while they are idle.
+ * Connection pool that destroys connections on which data arrives while they are idle.
  *
- * Guards against the second answer to a request that was answered already: it would be read as the answer to the next request on
- * that connection.
+ * Such data may be a second response to a request that was already answered: without this check, it would be read as the
+ * response to the next request on the connection.
  */
-class GuardedAgent extends Agent {
-    private readonly guards = new WeakMap<Socket, () => void>();
+class IdleDataGuardAgent extends Agent {
+    private readonly dataListeners = new WeakMap<Socket, () => void>();
 
-    // Called by Node as a request's end gives its connection back, and as the next request takes it.
+    // Node calls `keepSocketAlive` when a request returns its connection to the pool, and `reuseSocket` when the next takes it.
     override keepSocketAlive(socket: Socket): boolean {
-        const guard = (): void => void socket.destroy();
-        this.guards.set(socket, guard);
-        socket.once("data", guard);
+        const destroyOnData = (): void => void socket.destroy();
+        this.dataListeners.set(socket, destroyOnData);
+        socket.once("data", destroyOnData);
         return super.keepSocketAlive(socket) as unknown as boolean;
     }
 
     override reuseSocket(socket: Socket, req: ClientRequest): void {
-        const guard = this.guards.get(socket);
-        if (guard) socket.removeListener("data", guard);
+        const destroyOnData = this.dataListeners.get(socket);
+        if (destroyOnData) socket.removeListener("data", destroyOnData);
         super.reuseSocket(socket, req);
     }
 }
@@ -162,26 +164,26 @@
 function applyLimits(server: Server, limits: HttpLimits): void {
     server.headersTimeout = limits.headerTimeoutMs;
     server.requestTimeout = limits.requestTimeoutMs;
-    server.keepAliveTimeout = limits.idleTimeoutMs ?? DEFAULT_IDLE_MS;
+    server.keepAliveTimeout = limits.idleTimeoutMs ?? DEFAULT_KEEP_ALIVE_MS;
 }
 
-/** Whether HTTP itself says where an answer ends, and not the end of its connection. */
-function hasOwnEnd({ headers }: IncomingMessage): boolean {
+/** Whether a response's headers delimit its body, so that it does not end with its connection. */
+function isSelfDelimited({ headers }: IncomingMessage): boolean {
     return headers["content-length"] !== undefined || headers["transfer-encoding"] !== undefined;
 }
 
 /**
- * Tells a connection that was closed from one that was reset.
+ * Detects whether a connection that has ended was reset instead of closed.
  *
- * Guards against a reset that comes right behind the last bytes: the two are then read in one step, and the event loop reports the end
- * of the stream in place of the error. The error stays with the socket, and a write gets it; on a connection that the other side has
- * merely closed, a write succeeds. The two bytes are an empty line, which HTTP allows between messages, and nobody reads them.
+ * A reset right behind the last bytes is read together with them, and the event loop then reports the end of the stream
+ * instead of the error. The error stays pending on the socket, so that a write fails with it; on a connection that the
+ * server has merely closed, a write succeeds. The probe writes an empty line, which HTTP allows between messages.
  */
-class ConnectionEnd {
+class ConnectionEndProbe {
     private probe: Promise<boolean> | undefined;
 
     constructor(socket: Socket) {
-        // Ahead of Node's own listener, which ends the writing side.
+        // Must run before Node's own listener, which ends the writable side.
         socket.prependOnceListener("end", () => {
             this.probe = new Promise(resolve => socket.write("\r\n", err => resolve(Boolean(err))));
         });
@@ -192,26 +194,27 @@
     }
 }
 
-/** Node adds neither of these to a list of headers; without a length it would send no body at all. */
-function completeHeaders(call: HttpCall): HeaderList {
+/** Adds `host` and `content-length`: Node adds neither to headers given as a list, and sends no body without a length. */
+function addRequiredHeaders(call: HttpCall): HeaderList {
     const added: [string, string][] = [];
-    const has = (name: string): boolean => call.headers.some(([given]) => given.toLowerCase() === name);
+    const has = (name: string): boolean => call.headers.some(([existing]) => existing.toLowerCase() === name);
     if (!has("host")) added.push(["host", formatAddress(call.address)]);
     if (call.body && !has("content-length")) added.push(["content-length", String(call.body.length)]);
     return [...call.headers, ...added];
 }
 
 /**
- * Reads a body to its end.
+ * Reads the body of a response to its end.
  *
- * Guards against a part that passes for the whole: an answer without a length ends with its connection, and Node calls it complete
- * when that connection is reset too.
+ * Prevents a truncated body from passing as complete: a response without a length ends with its connection, and Node
+ * reports it as complete even if that connection was reset.
  *
- * @param hasFailed - Says whether the connection ended in another way than in good order.
+ * @param endedAbnormally - Returns whether the connection failed or was reset.
+ * @param reason - Returns the reason for an error that the stream reports.
  */
 async function* readReplyBody(
     message: IncomingMessage,
-    hasFailed: () => Promise<boolean>,
+    endedAbnormally: () => Promise<boolean>,
     reason: () => HttpError["reason"],
 ): AsyncIterable<Uint8Array> {
     try {
@@ -220,10 +223,10 @@
     catch (err) {
         throw new HttpError(reason(), true, (err as Error).message);
     }
-    if (!message.complete || await hasFailed()) throw new HttpError("closed", true, "the body was cut off");
+    if (!message.complete || await endedAbnormally()) throw new HttpError("closed", true, "the body was cut off");
 }
 
-async function answer(req: NodeRequest, res: NodeResponse, handler: HttpHandler): Promise<void> {
+async function runHandler(req: NodeRequest, res: NodeResponse, handler: HttpHandler): Promise<void> {
     try {
         await handler(req, res);
     }
@@ -232,7 +235,7 @@
     }
 }
 
-function pairHeaders(raw: readonly string[]): HeaderList {
+function toHeaderList(raw: readonly string[]): HeaderList {
     const pairs: [string, string][] = [];
     for (let i = 0; i < raw.length; i += 2) pairs.push([raw[i].toLowerCase(), raw[i + 1]]);
     return pairs;
@@ -250,7 +253,7 @@
         super();
         this.method = message.method!;
         this.path = message.url!;
-        this.headers = pairHeaders(message.rawHeaders);
+        this.headers = toHeaderList(message.rawHeaders);
         this.remote = `${message.socket.remoteAddress}:${message.socket.remotePort}`;
         res.once("close", () => {
             if (!res.writableFinished) this.abort.abort();
@@ -261,7 +264,7 @@
         return new Promise(resolve => {
             const chunks: Buffer[] = [];
             let size = 0;
-            // A stated length over the limit is refused before the first byte of the body is read.
+            // A content length over the limit is refused before any of the body is read.
             if (Number(this.message.headers["content-length"] ?? 0) > limitBytes) {
                 resolve(Left(new BodyError("too-large")));
                 return;
@@ -314,7 +317,7 @@
         this.res.destroy();
     }
 
-    /** A handler that threw: a plain 500 if nothing went out, else a cut connection. */
+    /** Handles an error thrown by the handler: sends a 500 if no headers were sent, else cuts the connection. */
     fail(): void {
         if (this.res.headersSent) {
             this.res.destroy();
--- a/src/ports/nodeHttp/test.ts
+++ b/src/ports/nodeHttp/test.ts
@@ -36,17 +36,16 @@
     after(() => listener.close());
 
     describe("send", () => {
-        it("sends the body whole without a length given", async () => {
-            // Each chat through the real processes came back as "4 upstreams failed", while all went well in memory.
-            // Node adds no length to headers that are given as a list, and then sends no body at all; the engine
-            // refused the empty request with 400.
+        it("sends the whole body when no length is given", async () => {
+            // Node adds no content length to headers given as a list, and then sends no body. Engines refused the empty
+            // request with 400, so that each chat failed with "4 upstreams failed", with real processes only.
             const reply = (await http.send(callTo(listener.address, "/", "a body"))).unsafeCoerce();
             const parts: Uint8Array[] = [];
             for await (const part of reply.body) parts.push(part);
             assert.equal(Buffer.concat(parts).toString(), "a body");
         });
 
-        it("says that nothing has left when nobody listens", async () => {
+        it("reports that nothing was sent when the connection is refused", async () => {
             const closed = await http.serve({ host: "127.0.0.1", port: 0 }, DEFAULT_HTTP_LIMITS, async () => undefined);
             await closed.close();
             const err = (await http.send(callTo(closed.address, "/"))).swap().unsafeCoerce();
@@ -56,7 +55,7 @@
             });
         });
 
-        it("takes a body that was cut off for no whole answer", async () => {
+        it("throws an error for a body that was cut off", async () => {
             const reply = (await http.send(callTo(listener.address, "/cut", "a body"))).unsafeCoerce();
             await assert.rejects(async () => {
                 for await (const part of reply.body) assert.ok(part.length > 0);
@@ -65,7 +64,7 @@
     });
 
     describe("serve", () => {
-        it("answers a body over the limit, and does not keep it", async () => {
+        it("refuses a body over the limit", async () => {
             const reply = (await http.send(callTo(listener.address, "/", "x".repeat(LIMIT_BYTES + 1)))).unsafeCoerce();
             assert.equal(reply.status, 413);
             reply.reset();
@@ -73,8 +72,8 @@
     });
 });
 
-describe("NodeHttp's answers without a length", () => {
-    /** Reads the answer of a server that writes this and then ends its connection as told. */
+describe("NodeHttp's responses without a length", () => {
+    /** Reads the response of a server that writes a part of a body and then ends its connection by `end`. */
     async function readFrom(end: (socket: Socket) => void, pauseMs = 20): Promise<string> {
         const server = createServer(socket => {
             socket.once("data", () => {
@@ -108,18 +107,18 @@
         }
     }
 
-    it("are whole when their connection ends in good order", async () => {
+    it("are complete when their connection is closed", async () => {
         assert.equal(await readFrom(socket => socket.end()), "whole: part");
     });
 
-    it("are cut when the reset comes right behind the last bytes", async () => {
-        // As below, but the bytes and the reset are read in one step, which looks like an end in good order.
+    it("are cut off when the reset comes right behind the last bytes", async () => {
+        // As below, but the bytes and the reset are read in one step, which looks like a normal close.
         assert.equal(await readFrom(socket => socket.resetAndDestroy(), 0), "cut: closed");
     });
 
-    it("are cut when their connection is reset", async () => {
-        // A caller takes half an answer for the whole. The upstream states no length, so that the end of the connection is the end of
-        // the answer; it crashes in the middle, and the connection is reset.
+    it("are cut off when their connection is reset", async () => {
+        // A caller would take a truncated response as complete: without a length, the response ends with its connection, which
+        // is reset when the upstream crashes in the middle.
         assert.equal(await readFrom(socket => socket.resetAndDestroy()), "cut: closed");
     });
 });
--- a/src/ports/seededRandom/index.ts
+++ b/src/ports/seededRandom/index.ts
@@ -4,7 +4,7 @@
 import { Random } from "../random/index.js";
 
 /**
- * Random numbers that a seed repeats.
+ * Deterministic pseudorandom numbers: equal seeds produce equal sequences.
  *
  * @example
  * const random = new SeededRandom(42);
@@ -12,7 +12,7 @@
 export class SeededRandom extends Random {
     private readonly generator;
 
-    /** @param seed - A whole number. */
+    /** @param seed - An integer. */
     constructor(seed: number) {
         super();
         this.generator = xoroshiro128plus(seed);
--- a/src/ports/serverGuards/index.ts
+++ b/src/ports/serverGuards/index.ts
@@ -2,96 +2,97 @@
 import { IncomingMessage, Server, ServerResponse } from "node:http";
 import { Socket } from "node:net";
 
-/** What callers are told of a request that never became one. */
-interface MalformedAnswer {
+/** Response to a request that could not be received or parsed. */
+interface ClientErrorResponse {
     readonly status: number;
     readonly phrase: string;
     readonly type: string;
     readonly message: string;
 }
 
-const HEADERS_TOO_LARGE: MalformedAnswer = {
+const HEADERS_TOO_LARGE: ClientErrorResponse = {
     status: 431,
     phrase: "Request Header Fields Too Large",
     type: "headers-too-large",
     message: "the headers are larger than this server takes",
 };
-const REQUEST_TIMEOUT: MalformedAnswer = {
+const REQUEST_TIMEOUT: ClientErrorResponse = {
     status: 408,
     phrase: "Request Timeout",
     type: "request-timeout",
     message: "the request did not come whole in time",
 };
-const MALFORMED: MalformedAnswer = {
+const MALFORMED: ClientErrorResponse = {
     status: 400,
     phrase: "Bad Request",
     type: "malformed",
     message: "this is no HTTP/1.1 request",
 };
-const ANSWERS: Readonly<Record<string, MalformedAnswer | undefined>> = {
+const RESPONSE_BY_ERROR_CODE: Readonly<Record<string, ClientErrorResponse | undefined>> = {
     HPE_HEADER_OVERFLOW: HEADERS_TOO_LARGE,
     ERR_HTTP_REQUEST_TIMEOUT: REQUEST_TIMEOUT,
 };
 const REQUEST_ID_BYTES = 16;
-/** How long the rest of a body is read and thrown away once its request has been answered, in milliseconds. */
-const DISCARD_MS = 1_000;
+/** How long the rest of a body is read and discarded after its request was answered. */
+const BODY_DISCARD_MS = 1_000;
 
 /**
- * Answers what Node refuses by itself (headers over the limit, a request that comes too slowly, bytes that are no HTTP) in
- * the shape of every other error.
+ * Answers requests that Node itself refuses (headers too large, request too slow, invalid HTTP) with the system's usual
+ * error body.
  *
- * Guards against an answer that lies, or that lands inside another: on a connection whose last request has come whole, that
- * request may be running, and its answer may be half written. There the connection is cut without a word.
+ * On a connection whose last request has arrived completely, that request may be running and its response partly written:
+ * an error response would state the wrong outcome or end up inside the other response. Such a connection is destroyed
+ * without a response.
  */
-export function answerMalformed(server: Server): void {
-    const latest = new WeakMap<Socket, ServerResponse>();
-    server.on("request", (req: IncomingMessage, res: ServerResponse) => latest.set(req.socket, res));
+export function answerClientErrors(server: Server): void {
+    const latestResponses = new WeakMap<Socket, ServerResponse>();
+    server.on("request", (req: IncomingMessage, res: ServerResponse) => latestResponses.set(req.socket, res));
     server.on("clientError", (err: NodeJS.ErrnoException, stream) => {
         const socket = stream as Socket;
-        const res = latest.get(socket);
-        if (!socket.writable || err.code === "ECONNRESET" || (res && isSpokenFor(res))) {
+        const res = latestResponses.get(socket);
+        if (!socket.writable || err.code === "ECONNRESET" || (res && hasOwnResponse(res))) {
             socket.destroy();
             return;
         }
-        socket.end(formatAnswer(ANSWERS[err.code ?? ""] ?? MALFORMED));
+        socket.end(formatResponse(RESPONSE_BY_ERROR_CODE[err.code ?? ""] ?? MALFORMED));
         socket.destroySoon();
     });
 }
 
 /**
- * Ends the connection of a request that was answered before its body had come whole, unless the rest comes soon.
+ * Closes the connection of a request that was answered before its body had arrived, unless the rest arrives soon.
  *
- * Guards against a caller that goes on sending for minutes after it was refused: Node would read all of it to keep the
- * connection. The rest is thrown away for a moment only; a cut at once could take the answer from a caller that is still
- * sending.
+ * Otherwise a caller could go on sending for minutes after its request was refused, since Node reads the whole body to keep
+ * the connection. The rest is discarded for a short time first: closing at once could lose the response to a caller that is
+ * still sending.
  */
-export function endUnreadRequests(server: Server): void {
+export function limitBodyDiscard(server: Server): void {
     server.on("request", (req: IncomingMessage, res: ServerResponse) => {
         res.once("finish", () => {
             if (req.complete) return;
-            const limit = setTimeout(() => req.socket.destroy(), DISCARD_MS);
-            req.once("end", () => clearTimeout(limit));
+            const timer = setTimeout(() => req.socket.destroy(), BODY_DISCARD_MS);
+            req.once("end", () => clearTimeout(timer));
             req.once("close", () => {
-                if (req.complete) clearTimeout(limit);
+                if (req.complete) clearTimeout(timer);
             });
         });
     });
 }
 
-/** The request has, or will have, an answer of its own. */
-function isSpokenFor(res: ServerResponse): boolean {
+/** Whether the request's handler has sent or will send a response. */
+function hasOwnResponse(res: ServerResponse): boolean {
     const { req, headersSent, writableFinished } = res;
     return headersSent ? !writableFinished || !req.complete : req.complete;
 }
 
-function formatAnswer({ status, phrase, type, message }: MalformedAnswer): string {
-    const request = randomBytes(REQUEST_ID_BYTES).toString("hex");
-    const body = JSON.stringify({ error: { type, message, outcome: "not-run", request } });
+function formatResponse({ status, phrase, type, message }: ClientErrorResponse): string {
+    const requestId = randomBytes(REQUEST_ID_BYTES).toString("hex");
+    const body = JSON.stringify({ error: { type, message, outcome: "not-run", request: requestId } });
     return [
         `HTTP/1.1 ${status} ${phrase}`,
         "content-type: application/json",
         `content-length: ${Buffer.byteLength(body)}`,
-        `x-sequoiamux-request: ${request}`,
+        `x-sequoiamux-request: ${requestId}`,
         "x-sequoiamux-outcome: not-run",
         "connection: close",
         "",
--- a/src/ports/sleepDetector/index.ts
+++ b/src/ports/sleepDetector/index.ts
@@ -1,32 +1,32 @@
-/** A smaller jump of wall time is a correction by a time service, in milliseconds. */
-const SMALLEST_JUMP_MS = 100;
+/** Smallest jump of wall time that counts as a suspension; a smaller one is a correction by a time service. */
+const MIN_JUMP_MS = 100;
 
 /**
- * Notices that the machine was suspended.
+ * Detects that the machine was suspended.
  *
- * Guards against a lease that outlives its time: while a machine is suspended its steady clock stands still, and a process that
- * wakes up would go on holding what others count as ended. Wall time goes on meanwhile, so a jump of wall time against the steady
- * clock is taken for sleep. A wall clock that was merely set forward looks the same, and costs a lease too early at most.
+ * While a machine is suspended its monotonic clock stands still, so that after the wake-up a process would go on holding a
+ * lease that has expired for all others. Wall time goes on meanwhile, so a jump of wall time against the monotonic clock
+ * counts as a suspension. A wall clock that was merely set forward looks the same; at worst, a lease then ends too early.
  *
  * @example
- * const sleptMs = detector.sleptMs(Date.now(), performance.now());
+ * const suspendedMs = detector.suspendedMs(Date.now(), performance.now());
  */
 export class SleepDetector {
-    private slept = 0;
+    private totalSuspendedMs = 0;
     private offset: number | undefined;
 
     /**
-     * Takes a reading of both clocks.
+     * Compares a new reading of both clocks with the previous one.
      *
      * @param wallMs - Wall time, in milliseconds.
-     * @param steadyMs - The steady clock, in milliseconds.
-     * @returns How long the machine may have slept so far, in milliseconds. Never goes back.
+     * @param monotonicMs - Monotonic time, in milliseconds.
+     * @returns Total time for which the machine may have been suspended, in milliseconds. Never decreases.
      */
-    sleptMs(wallMs: number, steadyMs: number): number {
-        const offset = wallMs - steadyMs;
+    suspendedMs(wallMs: number, monotonicMs: number): number {
+        const offset = wallMs - monotonicMs;
         const jumpMs = offset - (this.offset ?? offset);
         this.offset = offset;
-        if (jumpMs >= SMALLEST_JUMP_MS) this.slept += jumpMs;
-        return this.slept;
+        if (jumpMs >= MIN_JUMP_MS) this.totalSuspendedMs += jumpMs;
+        return this.totalSuspendedMs;
     }
 }
--- a/src/ports/systemClock/index.ts
+++ b/src/ports/systemClock/index.ts
@@ -3,7 +3,7 @@
 import { SleepDetector } from "../sleepDetector/index.js";
 
 /**
- * The machine's clock.
+ * Clock of the operating system.
  *
  * @example
  * const clock = new SystemClock();
@@ -16,8 +16,8 @@
     }
 
     override elapsed(): number {
-        const steady = this.monotonic();
-        return steady + this.sleepDetector.sleptMs(Date.now(), steady);
+        const monotonicMs = this.monotonic();
+        return monotonicMs + this.sleepDetector.suspendedMs(Date.now(), monotonicMs);
     }
 
     monotonic(): number {
--- a/src/ports/systemRandom/index.ts
+++ b/src/ports/systemRandom/index.ts
@@ -2,7 +2,7 @@
 import { Random } from "../random/index.js";
 
 /**
- * The operating system's random numbers.
+ * Random numbers from Node, and random bytes from the operating system.
  *
  * @example
  * const key = new SystemRandom().id();
--- a/src/ports/tcpNetwork/index.ts
+++ b/src/ports/tcpNetwork/index.ts
@@ -11,10 +11,10 @@
  */
 export class TcpNetwork extends Network {
     listen(address: Address, accept: (connection: Connection) => void): Promise<Listener> {
-        const open = new Set<Socket>();
+        const openSockets = new Set<Socket>();
         const server = createServer({ noDelay: true }, socket => {
-            open.add(socket);
-            socket.on("close", () => open.delete(socket));
+            openSockets.add(socket);
+            socket.on("close", () => openSockets.delete(socket));
             accept(new TcpConnection(socket));
         });
         return new Promise((resolve, reject) => {
@@ -27,7 +27,7 @@
                         close: () =>
                             new Promise<void>(done => {
                                 server.close(() => done());
-                                for (const socket of open) socket.resetAndDestroy();
+                                for (const socket of openSockets) socket.resetAndDestroy();
                             }),
                     } satisfies Listener,
                 );
@@ -38,9 +38,9 @@
     connect(address: Address, timeoutMs: number): Promise<Either<NetworkError, Connection>> {
         return new Promise(resolve => {
             const socket = new Socket();
-            const limit = setTimeout(() => fail("timeout"), timeoutMs);
+            const timer = setTimeout(() => fail("timeout"), timeoutMs);
             const fail = (reason: NetworkError["reason"]): void => {
-                clearTimeout(limit);
+                clearTimeout(timer);
                 socket.destroy();
                 resolve(Left(new NetworkError(reason, formatAddress(address))));
             };
@@ -49,7 +49,7 @@
                 (err: NodeJS.ErrnoException) => fail(err.code === "ECONNREFUSED" ? "refused" : "closed"),
             );
             socket.connect(address.port, address.host, () => {
-                clearTimeout(limit);
+                clearTimeout(timer);
                 socket.removeAllListeners("error");
                 socket.setNoDelay(true);
                 resolve(Right(new TcpConnection(socket)));
@@ -68,7 +68,7 @@
         socket.on("data", chunk => this.received.put(chunk));
         socket.on("end", () => this.received.end());
         socket.on("close", () => this.received.end());
-        // "close" follows each error, and the reader learns of it there.
+        // Each error is followed by "close", which ends the reader's queue.
         socket.on("error", () => undefined);
     }
 
--- a/src/ports/virtualClock/index.ts
+++ b/src/ports/virtualClock/index.ts
@@ -1,17 +1,18 @@
 import { Clock, Timer } from "../clock/index.js";
 
+/** A scheduled callback, with its due time in milliseconds and its creation order. */
 interface PendingCall {
-    readonly at: number;
-    readonly order: number;
+    readonly dueMs: number;
+    readonly sequence: number;
     readonly callback: () => void;
 }
 
-/** Where wall time starts in virtual time: 2026-12-01T00:00:00Z. */
+/** Wall time at virtual time 0: 2026-12-01T00:00:00Z. */
 const VIRTUAL_EPOCH_MS = Date.UTC(2026, 11, 1);
 
 /**
- * Time that moves only when a test says so. Calls run in the order of their time, then of their creation, so that a
- * seed gives the same run each time.
+ * Clock for tests whose time moves only on request. Callbacks run in the order of their due time, then of their creation, so
+ * that runs with equal seeds are equal.
  *
  * @example
  * const clock = new VirtualClock();
@@ -20,66 +21,66 @@
 export class VirtualClock extends Clock {
     private readonly heap: PendingCall[] = [];
     private readonly cancelled = new Set<PendingCall>();
-    private time = 0;
-    private nextOrder = 0;
+    private nowMs = 0;
+    private nextSequence = 0;
 
     now(): number {
-        return VIRTUAL_EPOCH_MS + this.time;
+        return VIRTUAL_EPOCH_MS + this.nowMs;
     }
 
     monotonic(): number {
-        return this.time;
+        return this.nowMs;
     }
 
     after(ms: number, callback: () => void): Timer {
-        const call: PendingCall = { at: this.time + Math.max(0, ms), order: this.nextOrder++, callback };
+        const call: PendingCall = { dueMs: this.nowMs + Math.max(0, ms), sequence: this.nextSequence++, callback };
         pushCall(this.heap, call);
         return { cancel: () => this.cancelled.add(call) };
     }
 
     /**
-     * Moves time on, running what falls due and all promise work that follows from it.
+     * Advances time, running due callbacks and the promise reactions that follow from them.
      *
-     * @param ms - How far, in milliseconds.
+     * @param ms - The duration, in milliseconds.
      */
     async advance(ms: number): Promise<void> {
-        const end = this.time + ms;
+        const endMs = this.nowMs + ms;
         await drainPromises();
-        while (this.heap.length > 0 && this.heap[0].at <= end) {
-            this.time = this.heap[0].at;
+        while (this.heap.length > 0 && this.heap[0].dueMs <= endMs) {
+            this.nowMs = this.heap[0].dueMs;
             this.runDue();
             await drainPromises();
         }
-        this.time = end;
+        this.nowMs = endMs;
     }
 
     /**
-     * Moves time on until the promise settles.
+     * Advances time until a promise settles.
      *
      * @param work - The promise to wait for.
-     * @param limitMs - The most time to let pass.
-     * @returns What the promise gave.
-     * @throws Error when the promise has not settled within the limit.
+     * @param limitMs - Maximum time to advance, in milliseconds.
+     * @returns The value of the promise.
+     * @throws Error if the promise does not settle within the limit.
      */
     async runUntil<Value>(work: Promise<Value>, limitMs: number): Promise<Value> {
-        let settled = false;
-        const mark = (): void => {
-            settled = true;
+        let isSettled = false;
+        const markSettled = (): void => {
+            isSettled = true;
         };
-        work.then(mark, mark);
-        const end = this.time + limitMs;
+        work.then(markSettled, markSettled);
+        const endMs = this.nowMs + limitMs;
         await drainPromises();
-        while (!settled && this.heap.length > 0 && this.heap[0].at <= end) {
-            this.time = this.heap[0].at;
+        while (!isSettled && this.heap.length > 0 && this.heap[0].dueMs <= endMs) {
+            this.nowMs = this.heap[0].dueMs;
             this.runDue();
             await drainPromises();
         }
-        if (!settled) throw new Error(`not settled within ${limitMs} ms of virtual time`);
+        if (!isSettled) throw new Error(`not settled within ${limitMs} ms of virtual time`);
         return work;
     }
 
     private runDue(): void {
-        while (this.heap.length > 0 && this.heap[0].at <= this.time) {
+        while (this.heap.length > 0 && this.heap[0].dueMs <= this.nowMs) {
             const call = popCall(this.heap);
             if (this.cancelled.delete(call)) continue;
             call.callback();
@@ -92,7 +93,7 @@
 }
 
 function isBefore(a: PendingCall, b: PendingCall): boolean {
-    return a.at < b.at || (a.at === b.at && a.order < b.order);
+    return a.dueMs < b.dueMs || (a.dueMs === b.dueMs && a.sequence < b.sequence);
 }
 
 function pushCall(heap: PendingCall[], call: PendingCall): void {
--- a/src/ports/standardOutput/index.ts
+++ b/src/ports/writeToStandardOutput/index.ts
@@ -1,11 +1,11 @@
 import { write } from "node:fs";
 
-const STANDARD_OUTPUT = 1;
+const STDOUT_FD = 1;
 
 /**
- * Writes to the standard output off the event loop.
+ * Writes to standard output without blocking the event loop.
  *
- * @param done - Told how many bytes were taken, or why none were.
+ * @param done - Called with the number of bytes written, or with the error.
  * @example
  * writeToStandardOutput(Buffer.from("ready\n"), () => undefined);
  */
@@ -13,5 +13,5 @@
     bytes: Uint8Array,
     done: (err: Error | undefined, written: number) => void,
 ): void {
-    write(STANDARD_OUTPUT, bytes, (err, written) => done(err ?? undefined, written));
+    write(STDOUT_FD, bytes, (err, written) => done(err ?? undefined, written));
 }
