--- a/src/discovery/announcementPublisher/index.ts
+++ b/src/discovery/announcementPublisher/index.ts
@@ -12,37 +12,40 @@
     UpdateLevel,
 } from "../announcementUpdate/index.js";
 
-/** How often news is sent, in milliseconds: a new upstream gets work a little later, and many announcements share a message. */
-const SEND_EVERY_MS = 100;
-/** A subscriber hears at least this often, in milliseconds: the publisher's time of day, and that it still hears its upstreams. */
-const HEARD_EVERY_MS = 1_000;
-/** How long a subscriber may take to confirm that an upstream leaves, in milliseconds: well under the upstream's own patience. */
-const CONFIRM_MS = 300;
-/** What a record says of load where only membership is told: the true one would soon be out of date, and is not corrected. */
+/** Interval at which changes are sent: it delays work for a new upstream slightly, and many announcements share a message. */
+const SEND_INTERVAL_MS = 100;
+/** Maximum interval between updates to a subscriber: they carry the publisher's wall time and confirm that its upstreams are alive. */
+const KEEPALIVE_INTERVAL_MS = 1_000;
+/** Timeout for a subscriber's confirmation that an upstream leaves; well below the upstream's own timeout. */
+const CONFIRM_TIMEOUT_MS = 300;
+/** Load in records at level `membership`: the actual load would soon be outdated, and no update would correct it. */
 const NO_LOAD: LoadReport = { running: 0, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
 
-const SCOPES: Readonly<Record<UpdateLevel, SpreadScope>> = { membership: "membership", all: "heard" };
+/** Scope of the registry's changes that subscribers of each level get. */
+const SCOPE_BY_LEVEL: Readonly<Record<UpdateLevel, SpreadScope>> = { membership: "membership", all: "heard" };
 
-/** What a publisher is made of. */
+/** Options of `AnnouncementPublisher`. */
 export interface AnnouncementPublisherOptions {
     readonly clock: Clock;
     readonly registry: UpstreamRegistry;
-    /** Gets the method by which others subscribe. */
+    /** Router on which the subscribe method is registered. */
     readonly router: PeerRouter;
 }
 
 interface Subscription {
     readonly level: UpdateLevel;
+    /** Monotonic time of the last update, in milliseconds. */
     sentAt: number;
 }
 
 /**
- * Takes announcements from upstreams and passes them on to all that subscribe. What all subscribers of a level get is made and encoded once, and
- * most subscribers get only what changes: a publisher's work and bytes don't grow with subscribers × announcements.
+ * Receives announcements from upstreams and publishes them to its subscribers. An update is built and encoded once for all
+ * subscribers of a level, and most subscribers get only changes of membership, so that work and traffic don't grow with
+ * subscribers × announcements.
  *
- * Guards against a leaver that goes on getting work: it is told that its word was taken, this process is lost in the next moment, and
- * no entry has heard of it. So a leaver's word counts as taken only once a subscriber has confirmed it, and subscribers pass leavers on
- * whoever told them.
+ * Prevents an upstream that leaves from getting further work: if this process confirmed the announcement and were lost right
+ * after, no entry would know of it. So the announcement is confirmed only once a subscriber has confirmed it, and subscribers
+ * relay announcements of leaving upstreams, whichever process they come from.
  *
  * @example
  * const publisher = new AnnouncementPublisher({ clock, registry, router });
@@ -50,13 +53,13 @@
  */
 export class AnnouncementPublisher {
     private readonly subscribers = new Map<PeerChannel, Subscription>();
-    /** Ready upstreams that announce themselves here, as subscribers know. */
-    private readonly reported = new Set<UpstreamId>();
-    /** Followers know what the registry had learned up to this version. */
-    private toldVersion = 0;
+    /** Upstreams that were reported to subscribers as ready and announcing themselves to this process. */
+    private readonly reportedReady = new Set<UpstreamId>();
+    /** The registry's version up to which changes were published. */
+    private publishedVersion = 0;
 
     constructor(private readonly options: AnnouncementPublisherOptions) {
-        options.router.add(SUBSCRIBE_METHOD, (body, channel) => this.addFollower(body as SubscribeRequest, channel));
+        options.router.add(SUBSCRIBE_METHOD, (body, channel) => this.addSubscriber(body as SubscribeRequest, channel));
     }
 
     get subscriberCount(): number {
@@ -64,93 +67,94 @@
     }
 
     /**
-     * Takes an announcement.
+     * Receives an announcement from an upstream.
      *
-     * @returns Whether it may be confirmed to the upstream; otherwise it should tell another control process.
+     * @returns Whether it may be confirmed to the upstream; otherwise the upstream should announce to another control process.
      */
     async take(announcement: Announcement): Promise<boolean> {
         const { registry, clock } = this.options;
         registry.announce(announcement);
         if (announcement.state === "ready") return true;
-        const news: AnnouncementUpdate = { records: [{ announcement, ageMs: 0 }], wallMs: clock.now() };
-        const body = new EncodedBody(news);
+        const update: AnnouncementUpdate = { records: [{ announcement, ageMs: 0 }], wallMs: clock.now() };
+        const body = new EncodedBody(update);
         const confirmations = [...this.subscribers.keys()].map(channel =>
-            channel.call(UPDATE_METHOD, body, CONFIRM_MS)
+            channel.call(UPDATE_METHOD, body, CONFIRM_TIMEOUT_MS)
         );
         const confirmed = await Promise.all(confirmations);
-        return confirmed.some(answer => answer.isRight());
+        return confirmed.some(reply => reply.isRight());
     }
 
-    /** Sends news, and looks for upstreams that have gone silent, until the signal is aborted. */
+    /** Publishes changes and expires unresponsive upstreams until the signal is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
-            await this.options.clock.sleepToTick(SEND_EVERY_MS, signal);
+            await this.options.clock.sleepToTick(SEND_INTERVAL_MS, signal);
             this.options.registry.expire();
             this.sendUpdates();
         }
     }
 
-    private addFollower({ level = "all" }: SubscribeRequest, channel: PeerChannel): AnnouncementUpdate {
+    private addSubscriber({ level = "all" }: SubscribeRequest, channel: PeerChannel): AnnouncementUpdate {
         const { registry, clock } = this.options;
         if (!this.subscribers.has(channel)) void channel.closed.then(() => this.subscribers.delete(channel));
         this.subscribers.set(channel, { level, sentAt: clock.monotonic() });
         const { records } = registry.changesSince(0, "all");
-        for (const record of records) this.noteTold(record);
+        for (const record of records) this.updateReported(record);
         return { records: records.map(record => trimRecord(record, level)), wallMs: clock.now() };
     }
 
     private sendUpdates(): void {
-        const lapsed = this.takeExpired();
+        const expired = this.collectExpired();
         const { registry } = this.options;
-        const since = this.toldVersion;
-        this.toldVersion = registry.latestVersion;
+        const since = this.publishedVersion;
+        this.publishedVersion = registry.latestVersion;
         for (const level of ["membership", "all"] as const) {
-            const { records } = registry.changesSince(since, SCOPES[level]);
-            for (const record of records) this.noteTold(record);
-            this.sendToLevel(level, records, lapsed);
+            const { records } = registry.changesSince(since, SCOPE_BY_LEVEL[level]);
+            for (const record of records) this.updateReported(record);
+            this.sendToLevel(level, records, expired);
         }
     }
 
     private sendToLevel(
         level: UpdateLevel,
         records: readonly SpreadRecord[],
-        lapsed: readonly ExpiredUpstream[],
+        expired: readonly ExpiredUpstream[],
     ): void {
         const now = this.options.clock.monotonic();
-        const hasNews = records.length > 0 || lapsed.length > 0;
+        const hasChanges = records.length > 0 || expired.length > 0;
         const due = [...this.subscribers].filter(([, subscription]) =>
-            subscription.level === level && (hasNews || now - subscription.sentAt >= HEARD_EVERY_MS)
+            subscription.level === level && (hasChanges || now - subscription.sentAt >= KEEPALIVE_INTERVAL_MS)
         );
         if (due.length === 0) return;
         const trimmed = records.map(record => trimRecord(record, level));
-        const news: AnnouncementUpdate = { records: trimmed, lapsed, wallMs: this.options.clock.now() };
-        const body = new EncodedBody(news);
+        const update: AnnouncementUpdate = { records: trimmed, lapsed: expired, wallMs: this.options.clock.now() };
+        const body = new EncodedBody(update);
         for (const [channel, subscription] of due) {
             subscription.sentAt = now;
             channel.notify(UPDATE_METHOD, body);
         }
     }
 
-    private noteTold({ announcement, relayed }: SpreadRecord): void {
+    private updateReported({ announcement, relayed }: SpreadRecord): void {
         const id = announcement.id as UpstreamId;
-        if (announcement.state === "ready" && !relayed) this.reported.add(id);
-        else if (announcement.state !== "ready") this.reported.delete(id);
+        if (announcement.state === "ready" && !relayed) this.reportedReady.add(id);
+        else if (announcement.state !== "ready") this.reportedReady.delete(id);
     }
 
-    /** Upstreams that have gone silent, or announce themselves elsewhere. */
-    private takeExpired(): ExpiredUpstream[] {
+    /** Returns and forgets reported upstreams that became unresponsive or now announce themselves to another process. */
+    private collectExpired(): ExpiredUpstream[] {
         const { registry, clock } = this.options;
-        const lapsed: ExpiredUpstream[] = [];
-        for (const id of this.reported) {
+        const expired: ExpiredUpstream[] = [];
+        for (const id of this.reportedReady) {
             const upstream = registry.get(id);
             if (upstream?.state === "ready" && upstream.firstHand) continue;
-            this.reported.delete(id);
-            if (upstream) lapsed.push({ id, ageMs: clock.monotonic() - upstream.aliveAt });
+            this.reportedReady.delete(id);
+            if (upstream) expired.push({ id, ageMs: clock.monotonic() - upstream.aliveAt });
         }
-        return lapsed;
+        return expired;
     }
 }
 
+/** Removes what a level leaves out of a record. */
 function trimRecord(record: SpreadRecord, level: UpdateLevel): SpreadRecord {
     if (level === "all") return record;
     return { ...record, announcement: { ...record.announcement, load: NO_LOAD, cache: undefined } };
--- a/src/discovery/announcementPublisher/test.ts
+++ b/src/discovery/announcementPublisher/test.ts
@@ -66,7 +66,7 @@
 }
 
 describe("AnnouncementPublisher", () => {
-    it("gives a new subscriber all that it knows, and news from then on", async () => {
+    it("sends a new subscriber its whole state, then updates", async () => {
         const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
         await publisher.publisher.take(makeAnnouncement({ id: "u1" }));
         subscribe(1, 0);
@@ -79,23 +79,23 @@
         stop();
     });
 
-    it("passes a leaver on that it heard of from another publisher", async () => {
-        // An engine leaves and tells a control process that the entry can't reach. The entry subscribes to another one, which has
-        // heard of it; without passing it on, the entry goes on sending.
+    it("relays a leaving upstream that it knows from another publisher", async () => {
+        // An engine announces that it leaves to a control process that the entry can't reach. The entry is subscribed to another
+        // one, which knows of it; if that did not relay it, the entry would keep sending requests.
         const { clock, nodes: [first, second, entry], subscribe, stop } = await makePublishers(["a", "b", "entry"]);
         subscribe(1, 0);
         subscribe(2, 1);
         await clock.advance(100);
         await second.publisher.take(makeAnnouncement({ sequence: 1 }));
         await clock.advance(200);
-        const taken = first.publisher.take(makeAnnouncement({ sequence: 2, state: "leaving" }));
-        assert.equal(await clock.runUntil(taken, 1_000), true);
+        const accepted = first.publisher.take(makeAnnouncement({ sequence: 2, state: "leaving" }));
+        assert.equal(await clock.runUntil(accepted, 1_000), true);
         await clock.advance(300);
         assert.equal(entry.registry.get(ID)?.state, "leaving");
         stop();
     });
 
-    it("does not confirm a leaver that nobody could be told of", async () => {
+    it("does not confirm a leaving upstream without any subscriber", async () => {
         const { clock, nodes: [publisher], stop } = await makePublishers(["control"]);
         assert.equal(await publisher.publisher.take(makeAnnouncement({ state: "ready" })), true);
         assert.equal(
@@ -105,8 +105,13 @@
         stop();
     });
 
-    describe("a subscriber that chooses among no upstreams", () => {
-        /** Lets an upstream announce itself for a while, with a load that changes each time. */
+    describe("a subscriber at level `membership`", () => {
+        /**
+         * Lets an upstream announce itself for `ms` milliseconds, with a changing load.
+         *
+         * @param from - The sequence number of the announcement before the first one.
+         * @returns The last sequence number.
+         */
         async function announceFor(
             publisher: AnnouncementPublisher,
             clock: VirtualClock,
@@ -123,7 +128,7 @@
             return sequence;
         }
 
-        it("is told nothing of load, and believes in the upstream all the same", async () => {
+        it("gets no load updates, and keeps the upstream ready", async () => {
             const { clock, nodes: [publisher, entry, owner], subscribe, stop } = await makePublishers([
                 "control",
                 "entry",
@@ -137,14 +142,14 @@
             assert.equal(entry.registry.get(ID)?.state, "ready");
             assert.equal(entry.registry.get(ID)?.announcement.load.running, 0);
             assert.equal(owner.registry.get(ID)?.announcement.load.running, 39);
-            const countNews = (node: typeof entry): number =>
+            const countUpdates = (node: typeof entry): number =>
                 node.router.traffic.list().find(({ method }) => method === "discovery.news")!.messages;
-            assert.ok(countNews(entry) <= 24, `${countNews(entry)} messages in 20 s`);
-            assert.ok(countNews(owner) >= 38);
+            assert.ok(countUpdates(entry) <= 24, `${countUpdates(entry)} messages in 20 s`);
+            assert.ok(countUpdates(owner) >= 38);
             stop();
         });
 
-        it("is told of a change of state within a moment", async () => {
+        it("gets a change of state at once", async () => {
             const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
             entry.setLevel("membership");
             subscribe(1, 0);
@@ -158,7 +163,7 @@
             stop();
         });
 
-        it("learns of load as soon as it has to choose", async () => {
+        it("gets load as soon as it needs level `all`", async () => {
             const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
             entry.setLevel("membership");
             subscribe(1, 0);
@@ -169,9 +174,9 @@
             stop();
         });
 
-        it("gives up an upstream that has gone silent, and takes it back", async () => {
-            // An engine loses power without a word. Entries that hear only of changes would send to it for good, if its publisher
-            // did not say that it hears nothing any more.
+        it("marks an upstream that stops announcing as silent, and as ready when it resumes", async () => {
+            // An engine loses power without announcing it. Entries that get changes only would send to it forever if its publisher
+            // did not report that the announcements have stopped.
             const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
             entry.setLevel("membership");
             subscribe(1, 0);
@@ -184,7 +189,7 @@
             stop();
         });
 
-        it("takes an upstream from one publisher to another", async () => {
+        it("keeps an upstream ready that moves from one publisher to another", async () => {
             const { clock, nodes: [first, second, entry], subscribe, stop } = await makePublishers(["a", "b", "entry"]);
             entry.setLevel("membership");
             subscribe(0, 1);
@@ -199,9 +204,9 @@
             stop();
         });
 
-        it("believes in the upstreams of a publisher that it can't reach for some seconds", async () => {
-            // The owner of a queue is cut off from one of the control hosts for five seconds. The upstreams that announce themselves
-            // there are well and reach it; they must not all be taken for silent.
+        it("keeps the upstreams of a publisher ready that is unreachable for some seconds", async () => {
+            // The owner of a queue is cut off from one control host for five seconds. The upstreams that announce themselves there
+            // are healthy, and the control host receives their announcements; they must not all be marked as silent.
             const { clock, fabric, nodes: [publisher, entry], subscribe, stop } = await makePublishers([
                 "control",
                 "entry",
--- a/src/discovery/announcementSubscriber/index.ts
+++ b/src/discovery/announcementSubscriber/index.ts
@@ -12,129 +12,135 @@
 } from "../announcementUpdate/index.js";
 
 const SUBSCRIBE_TIMEOUT_MS = 1_000;
-/** How often it is looked whether another level of news is needed, in milliseconds. */
-const LOOK_EVERY_MS = 200;
+/** Interval at which the level of updates that this process needs is checked. */
+const LEVEL_CHECK_INTERVAL_MS = 200;
 /**
- * How long it counts as heard, in milliseconds, that a publisher was told what upstreams say after it has got out of reach: one that lives tells
- * another publisher if its own is lost, and goes on telling its own if that one is only out of reach from here.
+ * How long upstreams are assumed alive after their publisher became unreachable. An upstream that is alive announces itself
+ * to another publisher if its own is lost, and keeps announcing to its own if that is unreachable only from this process.
  */
-const UNREACHABLE_MS = 3_000;
+const UNREACHABLE_GRACE_MS = 3_000;
 
-/** What a subscriber is made of. */
+/** Options of `AnnouncementSubscriber`. */
 export interface AnnouncementSubscriberOptions {
     readonly clock: Clock;
     readonly registry: UpstreamRegistry;
-    /** Gets the method by which publishers send news. */
+    /** Router on which the update method is registered. */
     readonly router: PeerRouter;
     readonly logger: Logger;
-    /** Told of a publisher's wall time, in milliseconds since the epoch. */
+    /** Called with a publisher's wall time at sending, in milliseconds since the epoch. */
     readonly onWallTime: (host: HostId, wallMs: number) => void;
-    /** What this process needs to know of upstreams now; undefined: all. */
+    /** Returns the level of updates that this process needs now; `all` if left out. */
     readonly levelNeeded?: () => UpdateLevel;
 }
 
-/** The publisher that an upstream announces itself to, as it was last told. */
+/** The publisher to which an upstream last announced itself. */
 interface UpstreamSource {
     readonly channel: PeerChannel;
-    /** When the publisher was found to be out of reach; monotonic, in milliseconds; undefined while it is not. */
-    lostAt: number | undefined;
+    /** Monotonic time at which the publisher became unreachable, in milliseconds; undefined while it is reachable. */
+    unreachableSince: number | undefined;
 }
 
 /**
- * Hears from publishers what upstreams announce. Subscribes to each control process: an upstream tells one of them only.
+ * Receives announcements of upstreams from publishers. Subscribes to every control process, since an upstream announces
+ * itself to one of them only.
  *
- * Guards against a chooser that takes half of all upstreams for silent, though they are well: it, or the publishers that they announce themselves to,
- * is cut off from the others. Silence counts where the publisher says so; upstreams whose publisher is out of reach are believed in for a while.
+ * When this process or some publishers are cut off from the others, healthy upstreams must not all be marked as
+ * unresponsive. So an upstream counts as unresponsive when its publisher reports it, and the upstreams of an unreachable
+ * publisher are assumed alive for a while.
  *
  * @example
  * const subscriber = new AnnouncementSubscriber(options);
  * new PeerLink({ ...linkOptions, onOpen: channel => void subscriber.subscribe(channel) });
  */
 export class AnnouncementSubscriber {
-    /** With the level that each was asked for. */
-    private readonly subscribed = new Map<PeerChannel, UpdateLevel>();
+    /** Channels to the publishers subscribed to, with the requested level. */
+    private readonly levelByChannel = new Map<PeerChannel, UpdateLevel>();
+    /** The publisher of each ready upstream. */
     private readonly sources = new Map<UpstreamId, UpstreamSource>();
 
     constructor(private readonly options: AnnouncementSubscriberOptions) {
-        options.router.add(UPDATE_METHOD, (body, channel) => this.takeUpdate(body as AnnouncementUpdate, channel));
+        options.router.add(UPDATE_METHOD, (body, channel) => this.applyUpdate(body as AnnouncementUpdate, channel));
     }
 
-    /** How many publishers this process is subscribed to. */
+    /** Number of publishers that this process is subscribed to. */
     get publisherCount(): number {
-        return this.subscribed.size;
+        return this.levelByChannel.size;
     }
 
-    /** Subscribes to the publisher at the other end of a channel until the channel ends. */
+    /** Subscribes to the publisher at the remote end of a channel until the channel ends. */
     async subscribe(channel: PeerChannel): Promise<void> {
         const level = this.options.levelNeeded?.() ?? "all";
-        const answer = await channel.call(SUBSCRIBE_METHOD, { level } satisfies SubscribeRequest, SUBSCRIBE_TIMEOUT_MS);
-        if (answer.isLeft()) {
-            // A channel without news looks sound and hides upstreams: the next one gets another try.
+        const reply = await channel.call(SUBSCRIBE_METHOD, { level } satisfies SubscribeRequest, SUBSCRIBE_TIMEOUT_MS);
+        if (reply.isLeft()) {
+            // Without a subscription the channel would look healthy while upstreams stay unknown. The next channel tries again.
             this.options.logger.warn("publisher-not-subscribed", {
                 publisher: channel.peer?.host,
-                problem: answer.extract().message,
+                problem: reply.extract().message,
             });
             channel.reset();
             return;
         }
-        if (!this.subscribed.has(channel)) void channel.closed.then(() => this.leave(channel));
-        this.subscribed.set(channel, level);
-        this.takeUpdate(answer.unsafeCoerce() as AnnouncementUpdate, channel);
+        if (!this.levelByChannel.has(channel)) void channel.closed.then(() => this.removeChannel(channel));
+        this.levelByChannel.set(channel, level);
+        this.applyUpdate(reply.unsafeCoerce() as AnnouncementUpdate, channel);
     }
 
-    /** Asks for another level when this process comes to need it, and believes in unreachable upstreams, until the signal is aborted. */
+    /**
+     * Requests another level when the one that this process needs changes, and keeps the upstreams of unreachable publishers
+     * alive for a while, until the signal is aborted.
+     */
     async run(signal: AbortSignal): Promise<void> {
         const { clock, levelNeeded } = this.options;
         while (!signal.aborted) {
-            await clock.sleepToTick(LOOK_EVERY_MS, signal);
-            this.confirmUnreachable();
+            await clock.sleepToTick(LEVEL_CHECK_INTERVAL_MS, signal);
+            this.keepUnreachableAlive();
             const level = levelNeeded?.() ?? "all";
-            for (const [channel, asked] of this.subscribed) {
-                if (asked !== level) void this.subscribe(channel);
+            for (const [channel, requestedLevel] of this.levelByChannel) {
+                if (requestedLevel !== level) void this.subscribe(channel);
             }
         }
     }
 
-    private takeUpdate({ records, lapsed = [], wallMs }: AnnouncementUpdate, channel: PeerChannel): void {
+    private applyUpdate({ records, lapsed: expired = [], wallMs }: AnnouncementUpdate, channel: PeerChannel): void {
         const { registry, clock, onWallTime } = this.options;
         const now = clock.monotonic();
         registry.merge(records);
-        for (const record of records) this.noteSource(record, channel);
-        for (const { id, ageMs } of lapsed) {
+        for (const record of records) this.updateSource(record, channel);
+        for (const { id, ageMs } of expired) {
             if (this.sources.get(id)?.channel !== channel) continue;
             this.sources.delete(id);
             registry.confirmAlive([id], now - ageMs);
         }
-        registry.confirmAlive(this.toldBy(channel), now);
+        registry.confirmAlive(this.listUpstreamsOf(channel), now);
         if (channel.peer) onWallTime(channel.peer.host, wallMs);
     }
 
-    private noteSource({ announcement, relayed }: SpreadRecord, channel: PeerChannel): void {
+    private updateSource({ announcement, relayed }: SpreadRecord, channel: PeerChannel): void {
         const id = announcement.id as UpstreamId;
         if (announcement.state !== "ready") this.sources.delete(id);
-        else if (!relayed) this.sources.set(id, { channel, lostAt: undefined });
+        else if (!relayed) this.sources.set(id, { channel, unreachableSince: undefined });
     }
 
-    private *toldBy(channel: PeerChannel): Generator<UpstreamId> {
+    private *listUpstreamsOf(channel: PeerChannel): Generator<UpstreamId> {
         for (const [id, source] of this.sources) {
             if (source.channel === channel) yield id;
         }
     }
 
-    private leave(channel: PeerChannel): void {
-        this.subscribed.delete(channel);
+    private removeChannel(channel: PeerChannel): void {
+        this.levelByChannel.delete(channel);
         const now = this.options.clock.monotonic();
         for (const source of this.sources.values()) {
-            if (source.channel === channel) source.lostAt = now;
+            if (source.channel === channel) source.unreachableSince = now;
         }
     }
 
-    private confirmUnreachable(): void {
+    private keepUnreachableAlive(): void {
         const { registry, clock } = this.options;
         const now = clock.monotonic();
-        for (const [id, { lostAt }] of this.sources) {
-            if (lostAt === undefined) continue;
-            if (now - lostAt < UNREACHABLE_MS) registry.confirmAlive([id], now);
+        for (const [id, { unreachableSince }] of this.sources) {
+            if (unreachableSince === undefined) continue;
+            if (now - unreachableSince < UNREACHABLE_GRACE_MS) registry.confirmAlive([id], now);
             else this.sources.delete(id);
         }
     }
--- a/src/discovery/announcementUpdate/index.ts
+++ b/src/discovery/announcementUpdate/index.ts
@@ -1,34 +1,43 @@
 import { UpstreamId } from "../../ids/index.js";
 import { SpreadRecord } from "../../upstream/index.js";
 
-/** Asks a publisher for all that it knows and, from then on, for news over the same channel; asked again, it changes the level. */
+/**
+ * Subscribes to a publisher: the reply has its whole state, and updates follow over the same channel. A further call on the
+ * channel changes the level.
+ */
 export const SUBSCRIBE_METHOD = "discovery.follow";
-/** Sent by a publisher to those that subscribe it; as a call where it waits for the answer. */
+/** Carries an update from a publisher to a subscriber; a call where the publisher needs the confirmation, else a notification. */
 export const UPDATE_METHOD = "discovery.news";
 
 /**
- * What a subscriber is told of. `membership`: upstreams that come, leave, go or change, all that most entries need; `all`: each announcement
- * with its load and caches, for those that choose among upstreams and for other publishers.
+ * Detail of the updates that a subscriber gets. `membership`: upstreams that join, leave, end or change, which is all that
+ * most entries need. `all`: each announcement with its load and cache events, for processes that choose among upstreams and
+ * for other publishers.
  */
 export type UpdateLevel = "membership" | "all";
 
-/** What a subscriber asks for. */
+/** Parameters of `SUBSCRIBE_METHOD`. */
 export interface SubscribeRequest {
-    /** Undefined: `all`. */
+    /** Defaults to `all`. */
     readonly level?: UpdateLevel;
 }
 
-/** An upstream that a publisher had said it hears, and no longer does. */
+/** An upstream that a publisher had reported as ready, but from which it no longer receives announcements. */
 export interface ExpiredUpstream {
     readonly id: UpstreamId;
-    /** How long ago the publisher last heard of it, in milliseconds. */
+    /** Time since the upstream was last known to be alive, in milliseconds. */
     readonly ageMs: number;
 }
 
-/** What a publisher tells its subscribers. With each message it confirms the ready upstreams that it has told of, but for those that lapsed. */
+/**
+ * An update from a publisher to its subscribers. Each one also confirms that all ready upstreams which the publisher has
+ * reported are alive, except those in `lapsed`.
+ */
 export interface AnnouncementUpdate {
+    /** New or changed announcements. */
     readonly records: readonly SpreadRecord[];
+    /** Upstreams that the publisher no longer confirms. */
     readonly lapsed?: readonly ExpiredUpstream[];
-    /** The publisher's wall time when it sent this, in milliseconds since the epoch. */
+    /** The publisher's wall time at sending, in milliseconds since the epoch. */
     readonly wallMs: number;
 }
