--- a/src/time/index.ts
+++ b/src/time/index.ts
@@ -1,2 +1,2 @@
-/** What time it is, as the hosts of a fleet agree on it. */
+/** Wall time, estimated from the clocks of several hosts. */
 export * from "./trueTime/index.js";
--- a/src/time/trueTime/index.ts
+++ b/src/time/trueTime/index.ts
@@ -1,91 +1,97 @@
 import { HostId } from "../../ids/index.js";
 import { Clock } from "../../ports/index.js";
 
-/** A wall clock that has moved against the steady clock by more than this was set, in milliseconds; drift moves it slowly. */
-const STEP_MS = 150;
-/** A clock that was set and stays so for this long is believed, in milliseconds. */
-const BELIEVED_AFTER_MS = 600_000;
+/** Smallest change of a wall clock against the monotonic clock that counts as a step; drift causes smaller changes between readings. */
+const MIN_STEP_MS = 150;
+/** How long a stepped clock must keep differing before its new time is accepted. */
+const ACCEPT_STEP_AFTER_MS = 600_000;
 
-interface Source {
-    /** Its wall time less our steady time, in milliseconds, as believed. */
-    offset: number;
-    /** The same, as last read. */
-    latest: number;
-    /** When it was first seen to differ from what is believed; undefined while it agrees. */
-    steppedAt: number | undefined;
+/** Wall clock of one host, as offsets from this process's monotonic clock. */
+interface ClockSource {
+    /** Offset that is used for the estimate, in milliseconds. */
+    acceptedOffsetMs: number;
+    /** Offset at the last reading, in milliseconds. */
+    latestOffsetMs: number;
+    /** Monotonic time at which the offset first differed from the accepted one, in milliseconds; undefined while they agree. */
+    steppedAtMs: number | undefined;
 }
 
 /**
- * The fleet's estimate of wall time: the median over the wall clocks of several hosts, each held against the steady clock here.
+ * Estimate of wall time: the median over the wall clocks of several hosts, each as an offset from the local monotonic clock.
  *
- * Guards against hosts whose time of day jumps by seconds, this one's too: requests would be counted in the wrong usage window.
- * A jump is seen as a change against the steady clock, which never jumps, and is left out; the median covers a host that
- * was wrong from the start. A machine that was suspended has a steady clock that stood still: its own wall clock and those of most
- * others have then moved by the same, and that alone is believed.
+ * Tolerates wall clocks that jump by seconds, including the local one; otherwise requests would be counted in the wrong usage
+ * window. A jump shows as a change of the offset, since the monotonic clock never jumps, and is ignored. The median covers
+ * hosts whose clock was wrong from the start. After a suspension of this machine, during which its monotonic clock stood
+ * still, the wall clocks of this host and of at least half of the others have moved by the same amount; only such a jump is
+ * accepted at once.
  *
  * @example
  * time.learn("control-1" as HostId, reply.wallMs);
  * const window = Math.floor(time.now() / windowMs);
  */
 export class TrueTime {
-    private readonly sources = new Map<HostId, Source>();
-    private readonly own: Source;
+    private readonly sources = new Map<HostId, ClockSource>();
+    private readonly own: ClockSource;
 
     constructor(private readonly clock: Clock) {
-        this.own = makeSource(this.readOwnOffset());
+        this.own = makeSource(this.readOwnOffsetMs());
     }
 
     /**
-     * Takes a reading of another host's wall clock.
+     * Records a reading of another host's wall clock.
      *
-     * @param wallMs - Its wall time at about this moment, in milliseconds since the epoch.
+     * @param wallMs - The host's current wall time, in milliseconds since the epoch.
      */
     learn(host: HostId, wallMs: number): void {
-        const now = this.clock.monotonic();
+        const nowMs = this.clock.monotonic();
         const source = this.sources.get(host);
-        if (source) follow(source, wallMs - now, now);
-        else this.sources.set(host, makeSource(wallMs - now));
+        if (source) updateSource(source, wallMs - nowMs, nowMs);
+        else this.sources.set(host, makeSource(wallMs - nowMs));
     }
 
-    /** The estimate of true wall time, in milliseconds since the epoch. */
+    /** Returns the estimated wall time, in milliseconds since the epoch. */
     now(): number {
-        const now = this.clock.monotonic();
-        follow(this.own, this.readOwnOffset(), now);
-        this.noticeSuspension();
-        const offsets = [...this.sources.values()].map(({ offset }) => offset);
-        if (offsets.length === 0) return now + this.own.offset;
+        const nowMs = this.clock.monotonic();
+        updateSource(this.own, this.readOwnOffsetMs(), nowMs);
+        this.applySuspension();
+        const offsets = [...this.sources.values()].map(({ acceptedOffsetMs }) => acceptedOffsetMs);
+        if (offsets.length === 0) return nowMs + this.own.acceptedOffsetMs;
         offsets.sort((a, b) => a - b);
-        return now + offsets[Math.floor((offsets.length - 1) / 2)];
+        return nowMs + offsets[Math.floor((offsets.length - 1) / 2)];
     }
 
-    private noticeSuspension(): void {
-        const jumpMs = this.own.latest - this.own.offset;
-        if (jumpMs < STEP_MS) return;
+    /** Accepts a forward jump that the local clock and at least half of the others share: this machine was suspended. */
+    private applySuspension(): void {
+        const jumpMs = this.own.latestOffsetMs - this.own.acceptedOffsetMs;
+        if (jumpMs < MIN_STEP_MS) return;
         const all = [...this.sources.values()];
-        const agreeing = all.filter(({ latest, offset }) => Math.abs(latest - offset - jumpMs) < STEP_MS);
+        const agreeing = all.filter(({ latestOffsetMs, acceptedOffsetMs }) =>
+            Math.abs(latestOffsetMs - acceptedOffsetMs - jumpMs) < MIN_STEP_MS
+        );
         if (agreeing.length * 2 < all.length || all.length === 0) return;
         for (const source of [this.own, ...all]) {
-            source.offset += jumpMs;
-            source.steppedAt = undefined;
+            source.acceptedOffsetMs += jumpMs;
+            source.steppedAtMs = undefined;
         }
     }
 
-    private readOwnOffset(): number {
+    private readOwnOffsetMs(): number {
         return this.clock.now() - this.clock.monotonic();
     }
 }
 
-function makeSource(offset: number): Source {
-    return { offset, latest: offset, steppedAt: undefined };
+function makeSource(offsetMs: number): ClockSource {
+    return { acceptedOffsetMs: offsetMs, latestOffsetMs: offsetMs, steppedAtMs: undefined };
 }
 
-function follow(source: Source, offset: number, now: number): void {
-    source.latest = offset;
-    const isStep = Math.abs(offset - source.offset) >= STEP_MS;
-    if (isStep) source.steppedAt ??= now;
-    else source.steppedAt = undefined;
-    const isBelieved = !isStep || now - source.steppedAt! >= BELIEVED_AFTER_MS;
-    if (!isBelieved) return;
-    source.offset = offset;
-    source.steppedAt = undefined;
+/** Records an offset, and accepts it unless it is a step that has not lasted long enough. */
+function updateSource(source: ClockSource, offsetMs: number, nowMs: number): void {
+    source.latestOffsetMs = offsetMs;
+    const isStep = Math.abs(offsetMs - source.acceptedOffsetMs) >= MIN_STEP_MS;
+    if (isStep) source.steppedAtMs ??= nowMs;
+    else source.steppedAtMs = undefined;
+    const isAccepted = !isStep || nowMs - source.steppedAtMs! >= ACCEPT_STEP_AFTER_MS;
+    if (!isAccepted) return;
+    source.acceptedOffsetMs = offsetMs;
+    source.steppedAtMs = undefined;
 }
--- a/src/time/trueTime/test.ts
+++ b/src/time/trueTime/test.ts
@@ -4,7 +4,7 @@
 import { VirtualClock } from "../../ports/index.js";
 import { TrueTime } from "./index.js";
 
-/** A clock whose wall time can be set. */
+/** A clock whose wall time can be stepped. */
 class SteppedClock extends VirtualClock {
     stepMs = 0;
 
@@ -18,9 +18,9 @@
 const C = "c" as HostId;
 
 describe("TrueTime", () => {
-    it("goes on through a jump of this host's clock", () => {
-        // A workspace is billed in the wrong window. The host's time of day jumps back by 2.4 s for six seconds, and the
-        // requests of that time are counted in the window before, which has been reported already.
+    it("ignores a jump of the local wall clock", () => {
+        // The host's wall clock jumps back by 2.4 s for six seconds. Requests of that time would be counted in the previous usage
+        // window, which was already reported, and billed in the wrong window.
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
         const before = time.now();
@@ -28,7 +28,7 @@
         assert.equal(time.now(), before);
     });
 
-    it("goes on through jumps of most other hosts' clocks", () => {
+    it("ignores jumps of most other hosts' clocks", () => {
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
         for (const host of [A, B, C]) time.learn(host, clock.now());
@@ -37,8 +37,8 @@
         assert.equal(time.now(), before);
     });
 
-    it("follows a machine that was suspended", () => {
-        // The machine stood still for five seconds, and so did its steady clock: all wall clocks have moved on by five seconds.
+    it("follows the wall clocks after a suspension of this machine", () => {
+        // The machine was suspended for five seconds, and its monotonic clock stood still: all wall clocks are five seconds ahead.
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
         for (const host of [A, B, C]) time.learn(host, clock.now());
@@ -47,7 +47,7 @@
         assert.equal(time.now(), clock.now());
     });
 
-    it("takes the median where hosts differ from the start", () => {
+    it("returns the median when hosts differ from the start", () => {
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
         time.learn(A, clock.now() + 5_000);
@@ -56,7 +56,7 @@
         assert.equal(time.now(), clock.now() + 10);
     });
 
-    it("believes a clock that stays where it was set", async () => {
+    it("accepts the new time of a clock that keeps it", async () => {
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
         time.learn(A, clock.now());
