--- a/src/lifecycle/gate/index.ts
+++ b/src/lifecycle/gate/index.ts
@@ -1,34 +1,34 @@
 import { Clock } from "../../ports/index.js";
 
 /**
- * Wakes tasks that wait for a change of something they look at.
+ * Condition variable: wakes the tasks that wait for a change of state.
  *
  * @example
  * await gate.wait(clock, 1_000, signal);
  */
 export class Gate {
-    private waiting = new Set<() => void>();
+    private waiters = new Set<() => void>();
 
-    /** Wakes all that wait now. */
+    /** Wakes all tasks that are waiting now. */
     open(): void {
-        const waiting = this.waiting;
-        this.waiting = new Set();
-        for (const wake of waiting) wake();
+        const waiters = this.waiters;
+        this.waiters = new Set();
+        for (const wake of waiters) wake();
     }
 
-    /** Settles at the next `open`, after `limitMs`, or when the signal is aborted. */
+    /** Waits for the next `open`, but at most `limitMs` milliseconds; ends early when the signal is aborted. */
     wait(clock: Clock, limitMs: number, signal: AbortSignal): Promise<void> {
         if (signal.aborted) return Promise.resolve();
         return new Promise(resolve => {
             const finish = (): void => {
-                this.waiting.delete(finish);
+                this.waiters.delete(finish);
                 timer.cancel();
                 signal.removeEventListener("abort", finish);
                 resolve();
             };
             const timer = clock.after(limitMs, finish);
             signal.addEventListener("abort", finish);
-            this.waiting.add(finish);
+            this.waiters.add(finish);
         });
     }
 }
--- a/src/lifecycle/index.ts
+++ b/src/lifecycle/index.ts
@@ -1,6 +1,6 @@
 /**
- * The lives of tasks: whoever starts something hands its clean-up to a `Lifecycle`, and closing that closes all, the
- * last started first; a `Gate` wakes tasks that wait for a change.
+ * Clean-up and wake-up of tasks. A `Lifecycle` collects the clean-up functions of what was started and runs them in reverse
+ * order when it is closed; a `Gate` wakes tasks that wait for a change.
  */
 export * from "./gate/index.js";
 export * from "./lifecycle/index.js";
--- a/src/lifecycle/lifecycle/index.ts
+++ b/src/lifecycle/lifecycle/index.ts
@@ -1,10 +1,10 @@
 import { setMaxListeners } from "node:events";
 
-/** Ends something that was started. */
+/** Ends something that was started, such as a listener or a task. */
 export type CleanUp = () => void | Promise<void>;
 
 /**
- * Owns what a process or a part of it has started.
+ * Collects the clean-up functions of what a process or a part of it has started.
  *
  * @example
  * const lifecycle = new Lifecycle();
@@ -17,11 +17,11 @@
     private closing: Promise<void> | undefined;
 
     constructor() {
-        // Each task of a process listens to the one signal; they are many by design, not by a leak.
+        // All tasks of a process listen to this signal, so a large number of listeners is not a leak.
         setMaxListeners(0, this.abort.signal);
     }
 
-    /** Aborted as soon as closing begins; tasks end on it. */
+    /** Aborted as soon as closing begins; tasks must then end. */
     get signal(): AbortSignal {
         return this.abort.signal;
     }
@@ -30,12 +30,12 @@
         return this.closing !== undefined;
     }
 
-    /** Takes over the clean-up of something. */
+    /** Registers a clean-up function to run on `close`. */
     own(cleanUp: CleanUp): void {
         this.cleanUps.push(cleanUp);
     }
 
-    /** A part with its own end, closed with this one if it has not been before. */
+    /** Returns a lifecycle that can be closed on its own, and is closed with this one at the latest. */
     child(): Lifecycle {
         const child = new Lifecycle();
         this.own(() => child.close());
@@ -43,17 +43,21 @@
     }
 
     /**
-     * Runs a task that ends on its own once the signal is aborted. Closing waits for it.
+     * Starts a task that must end once the signal is aborted. `close` waits for it.
      *
-     * @param task - Gets the signal.
-     * @param onError - Told when the task fails.
+     * @param task - The task, which gets the signal.
+     * @param onError - Called if the task fails.
      */
     run(task: (signal: AbortSignal) => Promise<void>, onError: (err: unknown) => void): void {
         const done = task(this.signal).catch(onError);
         this.own(() => done);
     }
 
-    /** Closes everything, the last owned first. Further calls wait for the same end. */
+    /**
+     * Aborts the signal and runs all clean-up functions, the last registered first. Further calls wait for the same run.
+     *
+     * @throws AggregateError if any clean-up function failed; the others have run all the same.
+     */
     close(): Promise<void> {
         this.closing ??= this.closeAll();
         return this.closing;
--- a/src/lifecycle/lifecycle/test.ts
+++ b/src/lifecycle/lifecycle/test.ts
@@ -4,7 +4,7 @@
 
 describe("Lifecycle", () => {
     describe("close", () => {
-        it("closes the last owned first, and all of it when one fails", async () => {
+        it("runs clean-ups in reverse order, and all of them if one fails", async () => {
             const closed: string[] = [];
             const lifecycle = new Lifecycle();
             lifecycle.own(() => void closed.push("first"));
@@ -16,7 +16,7 @@
             assert.deepEqual(closed, ["third", "first"]);
         });
 
-        it("ends tasks by the signal and waits for them", async () => {
+        it("ends tasks through the signal and waits for them", async () => {
             const lifecycle = new Lifecycle();
             let ended = false;
             lifecycle.run(async signal => {
