--- a/src/logging/boundedOutput/index.ts
+++ b/src/logging/boundedOutput/index.ts
@@ -1,72 +1,72 @@
-/** Writes bytes somewhere, perhaps fewer than asked for, and says how many. */
+/** Writes bytes, possibly only a part of them, and calls `done` with the number written or an error. */
 export type WriteBytes = (bytes: Uint8Array, done: (err: Error | undefined, written: number) => void) => void;
 
-/** What is held back at most while the far end does not take it, in bytes. */
-const MOST_HELD_BYTES = 256 * 1024;
-/** How long to wait before a write that was refused is tried again, in milliseconds. */
-const RETRY_MS = 20;
+/** Maximum number of bytes buffered while the output does not accept them. */
+const MAX_BUFFERED_BYTES = 256 * 1024;
+/** Delay before a failed write is retried. */
+const RETRY_DELAY_MS = 20;
 
 /**
- * Takes lines without ever blocking their writer.
+ * Output for lines that never blocks the writer.
  *
- * Guards against a process that stands still since nobody reads its log: lines wait in memory up to a bound, beyond it they are
- * dropped, and a line says how many.
+ * Prevents a process from stalling when its log is not read: lines are buffered up to a limit, and dropped beyond it. A line
+ * then reports the number of dropped lines.
  *
  * @example
- * const output = new BoundedOutput(writeToStdout, later);
+ * const output = new BoundedOutput(writeToStandardOutput, schedule);
  * output.write("{\"event\":\"ready\"}");
  */
 export class BoundedOutput {
-    private held: Buffer[] = [];
-    private heldBytes = 0;
-    private dropped = 0;
+    private buffered: Buffer[] = [];
+    private bufferedBytes = 0;
+    private droppedLines = 0;
     private isWriting = false;
 
     /**
-     * @param writeBytes - Where the lines go.
-     * @param later - Calls back after some milliseconds.
+     * @param writeBytes - Writes to the underlying output.
+     * @param schedule - Calls a function after a delay in milliseconds.
      */
     constructor(
         private readonly writeBytes: WriteBytes,
-        private readonly later: (ms: number, callback: () => void) => void,
+        private readonly schedule: (ms: number, callback: () => void) => void,
     ) {}
 
-    /** Takes one line, without its end. */
+    /** Writes one line, passed without its line break. */
     write(line: string): void {
         const bytes = Buffer.from(`${line}\n`);
-        if (this.heldBytes + bytes.length > MOST_HELD_BYTES) {
-            this.dropped++;
+        if (this.bufferedBytes + bytes.length > MAX_BUFFERED_BYTES) {
+            this.droppedLines++;
             return;
         }
-        this.hold(bytes);
+        this.buffer(bytes);
         if (!this.isWriting) this.flush();
     }
 
-    private hold(bytes: Buffer): void {
-        this.held.push(bytes);
-        this.heldBytes += bytes.length;
+    private buffer(bytes: Buffer): void {
+        this.buffered.push(bytes);
+        this.bufferedBytes += bytes.length;
     }
 
     private flush(): void {
-        if (this.dropped > 0) {
-            this.hold(Buffer.from(`${JSON.stringify({ event: "log-lines-dropped", count: this.dropped })}\n`));
-            this.dropped = 0;
+        if (this.droppedLines > 0) {
+            this.buffer(Buffer.from(`${JSON.stringify({ event: "log-lines-dropped", count: this.droppedLines })}\n`));
+            this.droppedLines = 0;
         }
-        if (this.held.length === 0) {
+        if (this.buffered.length === 0) {
             this.isWriting = false;
             return;
         }
         this.isWriting = true;
-        const bytes = Buffer.concat(this.held);
-        this.held = [];
-        this.writeBytes(bytes, (err, written) => this.takeWritten(bytes, err, written));
+        const bytes = Buffer.concat(this.buffered);
+        this.buffered = [];
+        this.writeBytes(bytes, (err, written) => this.handleWritten(bytes, err, written));
     }
 
-    private takeWritten(bytes: Buffer, err: Error | undefined, written: number): void {
-        const rest = bytes.subarray(err ? 0 : written);
-        this.heldBytes -= bytes.length - rest.length;
-        if (rest.length > 0) this.held.unshift(rest);
-        if (err) this.later(RETRY_MS, () => this.flush());
+    private handleWritten(bytes: Buffer, err: Error | undefined, written: number): void {
+        const unwritten = bytes.subarray(err ? 0 : written);
+        this.bufferedBytes -= bytes.length - unwritten.length;
+        if (unwritten.length > 0) this.buffered.unshift(unwritten);
+        if (err) this.schedule(RETRY_DELAY_MS, () => this.flush());
         else this.flush();
     }
 }
--- a/src/logging/boundedOutput/test.ts
+++ b/src/logging/boundedOutput/test.ts
@@ -6,46 +6,46 @@
 
 describe("BoundedOutput", () => {
     function makeOutput() {
-        const taken: string[] = [];
-        const pending: { bytes: Uint8Array; done: Done; }[] = [];
+        const writtenChunks: string[] = [];
+        const pendingWrites: { bytes: Uint8Array; done: Done; }[] = [];
         const retries: (() => void)[] = [];
         const output = new BoundedOutput(
-            (bytes, done) => pending.push({ bytes, done }),
+            (bytes, done) => pendingWrites.push({ bytes, done }),
             (_, retry) => retries.push(retry),
         );
-        const take = (count = Number.POSITIVE_INFINITY): void => {
-            const { bytes, done } = pending.shift()!;
+        const acceptWrite = (count = Number.POSITIVE_INFINITY): void => {
+            const { bytes, done } = pendingWrites.shift()!;
             const written = Math.min(count, bytes.length);
-            taken.push(Buffer.from(bytes.subarray(0, written)).toString());
+            writtenChunks.push(Buffer.from(bytes.subarray(0, written)).toString());
             done(undefined, written);
         };
-        return { output, taken, pending, retries, take };
+        return { output, writtenChunks, pendingWrites, retries, acceptWrite };
     }
 
-    it("writes lines in order, and what was taken in part to its end", () => {
-        const { output, taken, pending, take } = makeOutput();
+    it("writes lines in order, and completes partial writes", () => {
+        const { output, writtenChunks, pendingWrites, acceptWrite } = makeOutput();
         output.write("first");
         output.write("second");
-        take(3);
-        while (pending.length > 0) take();
-        assert.equal(taken.join(""), "first\nsecond\n");
+        acceptWrite(3);
+        while (pendingWrites.length > 0) acceptWrite();
+        assert.equal(writtenChunks.join(""), "first\nsecond\n");
     });
 
-    it("drops lines that nobody takes, and says how many", () => {
-        // A log collector hangs. The process must go on, and whoever reads the log later must see that lines are missing.
-        const { output, taken, pending, take } = makeOutput();
+    it("drops lines beyond the limit, and reports how many", () => {
+        // When a log collector hangs, the process must go on, and the log must show that lines are missing.
+        const { output, writtenChunks, pendingWrites, acceptWrite } = makeOutput();
         const line = "x".repeat(100_000);
         for (let i = 0; i < 5; i++) output.write(line);
-        while (pending.length > 0) take();
-        assert.match(taken.join(""), /"log-lines-dropped","count":3/);
+        while (pendingWrites.length > 0) acceptWrite();
+        assert.match(writtenChunks.join(""), /"log-lines-dropped","count":3/);
     });
 
-    it("tries again after a write that was refused", () => {
-        const { output, taken, pending, retries, take } = makeOutput();
+    it("retries a write that failed", () => {
+        const { output, writtenChunks, pendingWrites, retries, acceptWrite } = makeOutput();
         output.write("first");
-        pending.shift()!.done(new Error("try again"), 0);
+        pendingWrites.shift()!.done(new Error("try again"), 0);
         retries.shift()!();
-        take();
-        assert.equal(taken.join(""), "first\n");
+        acceptWrite();
+        assert.equal(writtenChunks.join(""), "first\n");
     });
 });
--- a/src/logging/index.ts
+++ b/src/logging/index.ts
@@ -1,4 +1,4 @@
-/** Logs as JSON lines. */
+/** Logging as JSON lines. */
 export * from "./boundedOutput/index.js";
 export * from "./jsonLogger/index.js";
 export * from "./logger/index.js";
--- a/src/logging/jsonLogger/index.ts
+++ b/src/logging/jsonLogger/index.ts
@@ -3,31 +3,33 @@
 import { Clock } from "../../ports/index.js";
 import { LogFields, Logger } from "../logger/index.js";
 
-/** How much a line matters, the least first. */
+/** Log levels in ascending order of severity. */
 export const LOG_LEVELS = ["debug", "info", "warn", "error"] as const;
 /** One of `LOG_LEVELS`. */
 export type LogLevel = typeof LOG_LEVELS[number];
 
-/** What a logger is made of. */
+/** Options of `JsonLogger`. */
 export interface JsonLoggerOptions {
     readonly host: HostId;
     readonly role: string;
-    /** The lowest level written; `DEBUG` in the environment adds namespaces to it. */
+    /** Minimum level that is written; the environment variable `DEBUG` enables further namespaces. */
     readonly level: LogLevel;
     readonly clock: Clock;
-    /** Takes one line without its end; standard error when left out. */
+    /** Writes one line, passed without its line break; defaults to standard error. */
     readonly write?: (line: string) => void;
 }
 
-const OWN_NAMES = ["time", "level", "host", "role", "event"];
+/** Fields that each line has. */
+const RESERVED_FIELDS = ["time", "level", "host", "role", "event"];
+/** Matches API keys, also with the underscore URL-encoded. */
 const KEY_PATTERN = /sqx(_|%5f)[0-9a-f]{32,}/gi;
 const REDACTED_KEY = "sqx_[redacted]";
 
 /**
  * Writes JSON lines through `debug`, one namespace `sequoiamux:<role>:<level>` for each level.
  *
- * Guards against a key in a log: whatever is shaped like one, in a value, a name or the event, is replaced. That is the
- * second guard; the first is that no caller of this class passes a key.
+ * Redacts anything that looks like an API key, in a value, a field's name or the event. This is a second safeguard: callers
+ * must not pass keys in the first place.
  *
  * @example
  * new JsonLogger({ host, role: "entry", level: "info", clock }).warn("peer-lost", { peer: "vogar-1" });
@@ -62,10 +64,10 @@
     }
 
     private makeOutput(level: LogLevel): Debugger {
-        const { role, level: lowest, write = writeToStandardError } = this.options;
+        const { role, level: minLevel, write = writeToStandardError } = this.options;
         const output = createDebug(`sequoiamux:${role}:${level}`);
-        if (LOG_LEVELS.indexOf(level) >= LOG_LEVELS.indexOf(lowest)) output.enabled = true;
-        // `debug` puts time and namespace into the first argument; the line goes in the second, as it is.
+        if (LOG_LEVELS.indexOf(level) >= LOG_LEVELS.indexOf(minLevel)) output.enabled = true;
+        // `debug` adds time and namespace to the first argument; the second one has the unchanged line.
         output.log = (_prefix: string, line: string) => write(line);
         return output;
     }
@@ -75,16 +77,18 @@
         if (!output.enabled) return;
         const { host, role, clock } = this.options;
         const time = new Date(clock.now()).toISOString();
-        const line = JSON.stringify({ time, level, host, role, event, ...renameOwnNames(fields) });
+        const line = JSON.stringify({ time, level, host, role, event, ...prefixReservedFields(fields) });
         output("", line.replace(KEY_PATTERN, REDACTED_KEY));
     }
 }
 
-/** A field named like one of the line's own gets `field.` before its name, so that neither hides the other. */
-function renameOwnNames(fields: LogFields): LogFields {
+/** Prefixes fields that have a reserved name with `field.`, so that both values are kept. */
+function prefixReservedFields(fields: LogFields): LogFields {
     const names = Object.keys(fields);
-    if (!names.some(name => OWN_NAMES.includes(name))) return fields;
-    return Object.fromEntries(names.map(name => [OWN_NAMES.includes(name) ? `field.${name}` : name, fields[name]]));
+    if (!names.some(name => RESERVED_FIELDS.includes(name))) return fields;
+    return Object.fromEntries(
+        names.map(name => [RESERVED_FIELDS.includes(name) ? `field.${name}` : name, fields[name]]),
+    );
 }
 
 function writeToStandardError(line: string): void {
--- a/src/logging/jsonLogger/test.ts
+++ b/src/logging/jsonLogger/test.ts
@@ -36,7 +36,7 @@
         });
     });
 
-    it("keeps a field named like one of the line's own beside it", () => {
+    it("keeps a field that has a reserved name under a prefixed one", () => {
         const { logger, lines } = makeLogger("info");
         logger.info("joined", { host: "keflavik-1" });
         const line = JSON.parse(lines[0]);
@@ -44,7 +44,7 @@
         assert.equal(line["field.host"], "keflavik-1");
     });
 
-    it("leaves out what is below its level", () => {
+    it("omits lines below its level", () => {
         const { logger, lines } = makeLogger("warn");
         logger.debug("a");
         logger.info("b");
@@ -53,9 +53,8 @@
     });
 
     describe("a key in a line", () => {
-        // A reader of the logs could call with a caller's key.
-        // An error message quotes a request's header or URL, and the message goes into a log line.
-        // Cause: whoever wrote the line did not know that the text held a key.
+        // An error message can quote a request's header or URL, and so carry a caller's key into a log line, from which any reader
+        // of the logs could use it.
         for (
             const [place, write] of [
                 ["a value", (logger: JsonLogger) => logger.info("bad", { header: `Bearer ${KEY}` })],
@@ -68,7 +67,7 @@
                 ],
             ] as const
         ) {
-            it(`is replaced in ${place}`, () => {
+            it(`is redacted in ${place}`, () => {
                 const { logger, lines } = makeLogger("info");
                 write(logger);
                 assert.doesNotMatch(lines[0], /0123456789abcdef/i);
--- a/src/logging/logger/index.ts
+++ b/src/logging/logger/index.ts
@@ -1,4 +1,4 @@
-/** Fields of a log line beside time, level, host, role and event. Never a key or a body. */
+/** Fields of a log line besides time, level, host, role and event. Must not contain keys or request bodies. */
 export type LogFields = Readonly<Record<string, string | number | boolean | undefined>>;
 
 /**
--- a/src/logging/silentLogger/index.ts
+++ b/src/logging/silentLogger/index.ts
@@ -1,6 +1,6 @@
 import { Logger } from "../logger/index.js";
 
-/** Writes nothing; for tests and benchmarks. */
+/** Discards all lines; for tests and benchmarks. */
 export class SilentLogger extends Logger {
     debug(): void {}
     info(): void {}
