--- a/src/protocol/announcement/index.ts
+++ b/src/protocol/announcement/index.ts
@@ -1,13 +1,13 @@
 /**
- * How an upstream makes itself known: `POST /upstreams/announce` to the upstream-facing port of any entry, every half
- * second and at each change of state. There is no list of upstreams but what these say.
+ * Announcements of upstreams: `POST /upstreams/announce` to the upstream-facing port of any entry, every half second and at
+ * each change of state. Upstreams are known from their announcements only; there is no configured list.
  */
 import * as z from "zod";
 
-/** Where an entry takes announcements. */
+/** Path at which announcements are accepted. */
 export const ANNOUNCE_PATH = "/upstreams/announce";
 
-/** The load an upstream reports. `age_ms`: how old the figures were when they were sent. */
+/** Load of an upstream. `kv_used`: used share of the KV cache; `age_ms`: age of these values when they were sent. */
 export const loadReportSchema = z.object({
     running: z.int().min(0),
     queued: z.int().min(0),
@@ -18,8 +18,8 @@
 export type LoadReport = z.infer<typeof loadReportSchema>;
 
 /**
- * Prefixes that entered or left the upstream's cache. `sequence` numbers the first event; a jump in it means that
- * events were lost.
+ * Prefixes that were added to or removed from the upstream's cache. `sequence` is the number of the first event; a gap in
+ * the numbers means that events were lost.
  */
 export const cacheEventsSchema = z.object({
     sequence: z.int().min(0),
@@ -27,34 +27,34 @@
 });
 export type CacheEvents = z.infer<typeof cacheEventsSchema>;
 
-/** One announcement. A higher (incarnation, sequence) replaces a lower one. */
+/** One announcement. It replaces those with a lower (incarnation, sequence). */
 export const announcementSchema = z.object({
     id: z.string().min(1).max(128),
-    /** Grows with each start of the upstream. */
+    /** Increases with each start of the upstream. */
     incarnation: z.int().min(0),
-    /** Grows with each announcement of one incarnation. */
+    /** Increases with each announcement of one incarnation. */
     sequence: z.int().min(0),
-    /** `leaving`: take no new work; `gone`: the last word of this incarnation. */
+    /** `leaving`: accepts no new requests; `gone`: the last announcement of this incarnation. */
     state: z.enum(["ready", "leaving", "gone"]),
     kind: z.enum(["engine", "service"]),
-    /** The models or the service that it serves. */
+    /** Names of the models, or of the service, that it serves. */
     pools: z.array(z.string()).min(1),
     zone: z.string(),
-    /** `IP:port` where it takes requests. */
+    /** `IP:port` at which it accepts requests. */
     address: z.string(),
-    /** How many requests it runs at once. */
+    /** Maximum number of requests that it runs concurrently. */
     slots: z.int().min(1),
-    /** Micro-credits for an hour of running. */
+    /** Price of an hour of running, in micro-credits. */
     price_per_hour: z.number().min(0),
-    /** The platform may take it back at short notice. */
+    /** Whether the platform may reclaim it at short notice. */
     reclaimable: z.boolean(),
-    /** It refuses orders with an old fencing token. */
+    /** Whether it refuses orders with an old fencing token. */
     checks_fence: z.boolean(),
     load: loadReportSchema,
     cache: cacheEventsSchema.optional(),
-    /** It has just started, and bears few requests a second for this many milliseconds. */
+    /** Time for which it is still cold after its start, and can handle only few requests per second, in milliseconds. */
     cold_ms: z.number().min(0).optional(),
-    /** The platform takes it back in this many milliseconds. */
+    /** Time until the platform reclaims it, in milliseconds. */
     reclaim_in_ms: z.number().min(0).optional(),
 });
 export type Announcement = z.infer<typeof announcementSchema>;
--- a/src/protocol/caller/index.ts
+++ b/src/protocol/caller/index.ts
@@ -1,11 +1,11 @@
 /**
- * What callers send and get: OpenAI-style chat completions, and calls of plain services below `/v1/services/<name>/`.
- * docs/CALLERS.md describes them for callers.
+ * Interface for callers: OpenAI-style chat completions, and calls of plain services below `/v1/services/<name>/`. It is
+ * documented for callers in docs/CALLERS.md.
  */
 import * as z from "zod";
 import { chatMessageSchema } from "../engine/index.js";
 
-/** Where an entry takes requests. */
+/** Paths that an entry serves; `services` is a prefix. */
 export const CALLER_PATHS = {
     chat: "/v1/chat/completions",
     services: "/v1/services/",
@@ -13,25 +13,25 @@
     ready: "/readyz",
 } as const;
 
-/** Names the service class of a request; without it the workspace's default class serves. */
+/** Request header with the service class; without it, the workspace's default class applies. */
 export const CLASS_HEADER = "x-sequoiamux-class";
-/** Makes a non-idempotent call safe to send again: the same key and body never run twice. */
+/** Request header that makes a non-idempotent call safe to retry: calls with the same key and body run at most once. */
 export const IDEMPOTENCY_HEADER = "idempotency-key";
-/** The request's id, on every answer; `sequoiamux explain` takes it. */
+/** Header with the request's id, on every response; `sequoiamux explain` accepts this id. */
 export const REQUEST_HEADER = "x-sequoiamux-request";
-/** The request's outcome, on every answer whose outcome is known when its head is sent. */
+/** Header with the request's outcome, on every response whose outcome is known when its headers are sent. */
 export const OUTCOME_HEADER = "x-sequoiamux-outcome";
 
 /**
- * What became of a request.
- * - `answered`: the answer is whole.
- * - `not-run`: no upstream has or will run it.
- * - `partly-run`: an upstream ran some of it.
+ * Outcome of a request.
+ * - `answered`: the response is complete.
+ * - `not-run`: no upstream has run it or will run it.
+ * - `partly-run`: an upstream ran a part of it.
  * - `unknown`: an upstream may have run it.
  */
 export type Outcome = "answered" | "not-run" | "partly-run" | "unknown";
 
-/** A caller's chat request. Further fields are passed on to the engine. */
+/** Chat request from a caller. Unknown fields are passed on to the engine. */
 export const chatRequestSchema = z.looseObject({
     model: z.string().min(1).max(128),
     messages: z.array(chatMessageSchema).min(1),
@@ -40,15 +40,17 @@
 });
 export type ChatRequest = z.infer<typeof chatRequestSchema>;
 
-/** The body of a refusal or an error, and of the last event of a stream that could not be finished. */
+/** Body of an error response, and of the last event of a stream that failed. */
 export interface ErrorBody {
     readonly error: {
-        /** A word for programs, for example `over-capacity` or `key-withdrawn`. */
+        /** Machine-readable error code, for example `over-capacity` or `key-withdrawn`. */
         readonly type: string;
+        /** Explanation for people. */
         readonly message: string;
         readonly outcome: Outcome;
-        /** When to come back, in milliseconds, where that can help. */
+        /** Delay before a retry, in milliseconds, where a retry can help. */
         readonly retry_after_ms?: number;
+        /** The request's id. */
         readonly request?: string;
     };
 }
--- a/src/protocol/engine/index.ts
+++ b/src/protocol/engine/index.ts
@@ -1,10 +1,10 @@
 /**
- * What a model engine understands: `POST /v1/chat/completions` in the usual OpenAI-style shape with a few further
- * fields, answered by server-sent events; `POST /v1/cancel`, `/v1/kv/export`, `/v1/kv/import` and `/v1/orders`.
+ * Interface of model engines: `POST /v1/chat/completions` in the usual OpenAI-style format with some further fields, answered
+ * by server-sent events; `POST /v1/cancel`, `/v1/kv/export`, `/v1/kv/import` and `/v1/orders`.
  */
 import * as z from "zod";
 
-/** Where an engine takes requests. */
+/** Paths that an engine serves. */
 export const ENGINE_PATHS = {
     chat: "/v1/chat/completions",
     cancel: "/v1/cancel",
@@ -13,13 +13,13 @@
     orders: "/v1/orders",
 } as const;
 
-/** The last event's data of a whole stream. A stream that ends without it was cut off. */
+/** Data of the last event of a complete stream. A stream that ends without it was cut off. */
 export const STREAM_DONE = "[DONE]";
 
 /** One message of a chat. */
 export const chatMessageSchema = z.looseObject({ role: z.string(), content: z.string() });
 
-/** The request that the system sends to an engine. `priority`: 0 is the most urgent. */
+/** Chat request to an engine. `priority`: 0 is the most urgent. */
 export const engineRequestSchema = z.looseObject({
     model: z.string(),
     messages: z.array(chatMessageSchema).min(1),
@@ -27,12 +27,12 @@
     stream: z.literal(true),
     request_id: z.string(),
     priority: z.int().min(0),
-    /** Continue an answer: the engine starts with token number `offset` (the first token has 0). */
+    /** Continues an answer at token number `offset`, counted from 0. */
     resume: z.object({ offset: z.int().min(0) }).optional(),
 });
 export type EngineRequest = z.infer<typeof engineRequestSchema>;
 
-/** What an answer cost, in tokens. `cached_tokens` of the prompt came from the engine's prefix cache. */
+/** Token usage of an answer. `cached_tokens`: prompt tokens that came from the engine's prefix cache. */
 export const engineUsageSchema = z.object({
     prompt_tokens: z.int().min(0),
     completion_tokens: z.int().min(0),
@@ -41,8 +41,8 @@
 export type EngineUsage = z.infer<typeof engineUsageSchema>;
 
 /**
- * One event of an answer. `id` repeats the request's `request_id`; `offset` is the number of the first token in the
- * event, and `tokens` how many it carries. The last event before `[DONE]` has `finish_reason` and `usage`.
+ * One event of an answer. `id` is the request's `request_id`, `offset` the number of the event's first token, and `tokens` the
+ * number of its tokens. The last event before `[DONE]` has `finish_reason` and `usage`.
  */
 export const engineChunkSchema = z.looseObject({
     id: z.string(),
@@ -59,11 +59,13 @@
 });
 export type EngineChunk = z.infer<typeof engineChunkSchema>;
 
-/** Stops a request: `POST /v1/cancel`, answered 204 also for one that is not running. */
+/** Cancels a request: `POST /v1/cancel`, answered with 204 even if the request is not running. */
 export const engineCancelSchema = z.object({ request_id: z.string() });
 
-/** An order to an engine: load a model or adapter, change role, or drain. Answered 409 `{"error":"stale"}` by an
- * engine that checks fencing tokens and has seen a higher one. */
+/**
+ * An order to an engine: load a model or an adapter, change its role, or drain. An engine that checks fencing tokens and has
+ * seen a higher one answers 409 `{"error":"stale"}`.
+ */
 export const engineOrderSchema = z.object({
     order_id: z.string(),
     fencing_token: z.int(),
@@ -72,7 +74,10 @@
 });
 export type EngineOrder = z.infer<typeof engineOrderSchema>;
 
-/** The header that carries the request's id to plain services and comes back with their answers. */
+/** Header with the request's id, on requests to plain services and on their responses. */
 export const REQUEST_ID_HEADER = "x-request-id";
-/** On answers of an upstream in need: how many requests a second it takes from all hosts together, for as long as its answers say so. */
+/**
+ * Response header by which an overloaded upstream limits its load: the requests per second that it accepts from all hosts
+ * together. The limit applies for as long as responses carry the header.
+ */
 export const REQUEST_LIMIT_HEADER = "x-sequoiamux-request-limit";
--- a/src/protocol/index.ts
+++ b/src/protocol/index.ts
@@ -1,4 +1,4 @@
-/** What the system says over HTTP to callers, upstreams and the platform: published shapes, in one place each. */
+/** Published HTTP interfaces to callers, upstreams and the platform: paths, headers and message schemas. */
 export * from "./announcement/index.js";
 export * from "./caller/index.js";
 export * from "./engine/index.js";
--- a/src/protocol/platform/index.ts
+++ b/src/protocol/platform/index.ts
@@ -1,10 +1,9 @@
 /**
- * What the platform offers over HTTP: orders for upstreams by availability zone, usage reports, and a weight store with a
- * rate limit.
+ * HTTP interface of the platform: orders for upstreams by availability zone, usage reports, and a rate-limited weight store.
  */
 import * as z from "zod";
 
-/** Where the platform takes what. */
+/** Paths that the platform serves; `weights` is a prefix. */
 export const PLATFORM_PATHS = {
     offers: "/platform/offers",
     orders: "/platform/orders",
@@ -12,7 +11,7 @@
     weights: "/weights/",
 } as const;
 
-/** What can be had in a zone: `GET /platform/offers` gives a list of these. */
+/** Upstreams of a pool that can be started in a zone; `GET /platform/offers` returns a list of offers. */
 export const offerSchema = z.object({
     zone: z.string(),
     pool: z.string(),
@@ -24,7 +23,7 @@
 });
 export type Offer = z.infer<typeof offerSchema>;
 
-/** `POST /platform/orders`. Start: `count` upstreams of the pool in the zone. Stop: the one named `upstream`. */
+/** Body of `POST /platform/orders`. `start`: starts `count` upstreams of the pool in the zone; `stop`: stops `upstream`. */
 export const platformOrderSchema = z.object({
     order_id: z.string(),
     fencing_token: z.int(),
@@ -37,18 +36,20 @@
 });
 export type PlatformOrder = z.infer<typeof platformOrderSchema>;
 
-/** The platform's answer: 200 with the upstreams concerned; an order id seen before gets its first answer again.
- * 409 `{"error":"stale"}` for an old fencing token, where it is checked; 409 `{"error":"unavailable"}` for more than can be
- * had; 429 with `retry-after` when busy. */
+/**
+ * Reply to an order: 200 with the upstreams concerned; a repeated order id gets the first reply again. Errors are 409
+ * `{"error":"stale"}` for an old fencing token, where it is checked, 409 `{"error":"unavailable"}` if too few upstreams are
+ * available, and 429 with `retry-after` if the platform is busy.
+ */
 export const platformOrderReplySchema = z.object({ order_id: z.string(), upstreams: z.array(z.string()) });
 export type PlatformOrderReply = z.infer<typeof platformOrderReplySchema>;
 
-/** Why the platform refuses: the body of its 4xx answers. */
+/** Body of the platform's 4xx responses. */
 export const platformErrorSchema = z.object({ error: z.string() });
-/** A start of more upstreams than can be had: sent again it may be refused again. */
+/** Error for a start of more upstreams than are available; a retry may fail again. */
 export const PLATFORM_UNAVAILABLE = "unavailable";
 
-/** What one workspace used in one window, of one pool and class. */
+/** Usage of one workspace in one window, for one pool and class. */
 export const usageLineSchema = z.object({
     workspace: z.string(),
     pool: z.string(),
@@ -60,8 +61,8 @@
 export type UsageLine = z.infer<typeof usageLineSchema>;
 
 /**
- * `POST /platform/usage-reports`: the figures of one window, the same on each resend. Usage that came after its own
- * window had closed is counted in the lines of the window that was open then.
+ * Body of `POST /platform/usage-reports`: the usage of one window, identical on each resend. Usage recorded after its window
+ * was closed is counted in the window that is open then.
  */
 export const usageReportSchema = z.object({
     report_id: z.string(),
