--- a/src/boot/codeCache/index.ts
+++ b/src/boot/cachedProgram/index.ts
@@ -3,10 +3,10 @@
 import { dirname } from "node:path";
 import { Script } from "node:vm";
 
-/** How a program was loaded. `rejected`: the code cache is of another version of the program, of Node.js or of its flags. */
+/** How the code cache was used. `rejected`: it was made for another version of the program or of Node.js, or for other flags. */
 export type CacheUse = "none" | "rejected" | "used";
 
-/** A program's file and the code cache beside it. */
+/** A compiled program with a V8 code cache, which is a file next to the program. */
 export class CachedProgram {
     private constructor(
         private readonly file: string,
@@ -15,17 +15,18 @@
     ) {}
 
     /**
-     * Compiles a CommonJS program, through the code cache where one fits. Without it, the program is compiled as usual.
+     * Compiles a CommonJS program, using the code cache if it is valid.
      *
-     * Answers restarts on hosts with a share of a core, where compiling takes longer than all else until callers are served.
+     * Shortens restarts on hosts with a fraction of a core, where compiling takes longer than all other steps until callers
+     * are served.
      *
      * @param file - The program's path.
-     * @returns The program, not run yet.
-     * @throws Error when the file can't be read, SyntaxError when it can't be compiled.
+     * @returns The compiled program, which was not run yet.
+     * @throws Error if the file can't be read, SyntaxError if it can't be compiled.
      */
     static load(file: string): CachedProgram {
         const source = Module.wrap(readFileSync(file, "utf8"));
-        const cachedData = readIfThere(cacheFileOf(file));
+        const cachedData = readIfExists(cachePathOf(file));
         const script = new Script(source, { filename: file, cachedData });
         const cacheUse = !cachedData ? "none" : script.cachedDataRejected ? "rejected" : "used";
         return new CachedProgram(file, script, cacheUse);
@@ -38,21 +39,21 @@
         this.script.runInThisContext()(module.exports, require, module, this.file, dirname(this.file));
     }
 
-    /** Writes what has been compiled so far beside the program, in one step. */
+    /** Writes the code compiled so far to the cache file, atomically. */
     writeCache(): void {
-        const cacheFile = cacheFileOf(this.file);
+        const cacheFile = cachePathOf(this.file);
         writeFileSync(`${cacheFile}.new`, this.script.createCachedData());
         renameSync(`${cacheFile}.new`, cacheFile);
     }
 }
 
-/** V8 takes a cache only under the flags that it was made with, so that each set of flags has a cache of its own. */
-function cacheFileOf(file: string): string {
+/** Returns the path of the cache file. V8 accepts a cache only with the flags it was made with, so each set of flags has its own file. */
+function cachePathOf(file: string): string {
     const flags = process.execArgv.join("").replace(/[^a-z0-9]+/gi, "-");
     return `${file}.${flags}.cache`;
 }
 
-function readIfThere(file: string): Buffer | undefined {
+function readIfExists(file: string): Buffer | undefined {
     try {
         return readFileSync(file);
     }
--- a/src/boot/codeCache/test.ts
+++ b/src/boot/cachedProgram/test.ts
@@ -10,44 +10,44 @@
 describe("CachedProgram", () => {
     let folder: string;
     let file: string;
-    const counter = globalThis as { bootRuns?: number; };
+    const scriptGlobals = globalThis as { bootRuns?: number; };
 
     beforeEach(() => {
         folder = mkdtempSync(join(tmpdir(), "boot-"));
         file = join(folder, "program.cjs");
         writeFileSync(file, SOURCE);
-        counter.bootRuns = 0;
+        scriptGlobals.bootRuns = 0;
     });
 
     afterEach(() => rmSync(folder, { recursive: true }));
 
-    it("runs a program, and runs it from the cache that was written", () => {
+    it("runs a program, then runs it from the written cache", () => {
         const first = CachedProgram.load(file);
         first.run();
         first.writeCache();
         const second = CachedProgram.load(file);
         second.run();
-        assert.deepEqual([first.cacheUse, second.cacheUse, counter.bootRuns], ["none", "used", 2]);
+        assert.deepEqual([first.cacheUse, second.cacheUse, scriptGlobals.bootRuns], ["none", "used", 2]);
         assert.equal(readdirSync(folder).length, 2);
     });
 
-    it("compiles a program whose cache is of another version", () => {
+    it("compiles a program whose cache is for another version", () => {
         CachedProgram.load(file).writeCache();
         appendFileSync(file, "globalThis.bootRuns += 10;");
         const changed = CachedProgram.load(file);
         changed.run();
-        assert.deepEqual([changed.cacheUse, counter.bootRuns], ["rejected", 11]);
+        assert.deepEqual([changed.cacheUse, scriptGlobals.bootRuns], ["rejected", 11]);
     });
 
     it("compiles a program whose cache is damaged", () => {
         CachedProgram.load(file).writeCache();
         const [cache] = readdirSync(folder).filter(name => name.endsWith(".cache"));
-        // Another program: Node.js remembers what it has compiled in this process.
+        // A different source, since Node.js keeps the code that it compiled in this process.
         const other = join(folder, "other.cjs");
         writeFileSync(other, `${SOURCE}\n`);
         writeFileSync(join(folder, cache.replace("program", "other")), "damaged");
         const program = CachedProgram.load(other);
         program.run();
-        assert.deepEqual([program.cacheUse, counter.bootRuns], ["rejected", 1]);
+        assert.deepEqual([program.cacheUse, scriptGlobals.bootRuns], ["rejected", 1]);
     });
 });
--- a/src/boot/main.ts
+++ b/src/boot/main.ts
@@ -1,9 +1,9 @@
 /**
- * Runs the bundled program beside this file through its code cache. `--write-code-cache` runs it without a role, which ends it at once, and
- * keeps what was compiled until then.
+ * Runs the bundled program in this file's folder through its code cache. With `--write-code-cache`, the program is run without
+ * a role, so that it exits at once, and the code compiled until then is written to the cache.
  */
 import { join } from "node:path";
-import { CachedProgram } from "./codeCache/index.js";
+import { CachedProgram } from "./cachedProgram/index.js";
 
 const PROGRAM = "sequoiamux.cjs";
 const WRITE_OPTION = "--write-code-cache";
