--- a/src/discovery/announcementPublisher/index.ts
+++ b/src/discovery/announcementPublisher/index.ts
@@ -40,7 +40,7 @@
 
 /**
  * Receives announcements from upstreams and publishes them to its subscribers. An update is built and encoded once for all
- * subscribers of a level, and most subscribers get only changes of membership, so that work and traffic don't grow with
+ * subscribers of a level, and most subscribers get only changes, not each announcement, so that work and traffic don't grow with
  * subscribers × announcements.
  *
  * Prevents an upstream that leaves from getting further work: if this process confirmed the announcement and were lost right
@@ -49,7 +49,7 @@
  *
  * @example
  * const publisher = new AnnouncementPublisher({ clock, registry, router });
- * const taken = await publisher.take(announcement);
+ * const isConfirmed = await publisher.take(announcement);
  */
 export class AnnouncementPublisher {
     private readonly subscribers = new Map<PeerChannel, Subscription>();
--- a/src/ports/http/index.ts
+++ b/src/ports/http/index.ts
@@ -63,6 +63,7 @@
     /** Path and query, as sent. */
     abstract readonly path: string;
     abstract readonly headers: HeaderList;
+    /** Address of the caller, for logs. */
     abstract readonly remote: string;
     /** Aborted when the caller's connection ends before the response is complete. */
     abstract readonly closed: AbortSignal;
@@ -104,7 +105,7 @@
 
 /** A listening HTTP server. */
 export interface HttpListener extends Listener {
-    /** Changes the limits, except `headerBytes`, which can't be changed after the start. */
+    /** Changes the limits from now on, except `headerBytes`, which keeps its initial value. */
     setLimits(limits: HttpLimits): void;
     /** Stops accepting connections and closes idle ones; resolves once all running responses have ended. */
     stopAccepting(): Promise<void>;
--- a/src/ports/memoryHost/index.ts
+++ b/src/ports/memoryHost/index.ts
@@ -83,6 +83,7 @@
 
 /** A host's clock, which may run fast or slow and whose wall time may be stepped. */
 export class HostClock extends Clock {
+    /** Simulation time and host time at the last change of the rate, in milliseconds. */
     private baseTrueMs = 0;
     private baseHostMs = 0;
     private wallOffsetMs = 0;
