--- a/src/platform/controlPlane/test.ts
+++ b/src/platform/controlPlane/test.ts
@@ -37,7 +37,7 @@
 
     afterEach(() => fleet.running?.close());
 
-    it("evacuates a zone and takes it back", async () => {
+    it("evacuates and restores a zone", async () => {
         const running = await startFleet();
         const listEvacuated = async () => {
             const read = await running.run(running.controls[0]!.routing!.zones.read());
@@ -50,13 +50,13 @@
         assert.deepEqual(await listEvacuated(), []);
     });
 
-    it("knows no other zones and no other orders", async () => {
+    it("answers 404 for an unknown zone or step", async () => {
         const running = await startFleet();
         assert.equal(await post(running, "/evacuations/nowhere/begin"), 404);
         assert.equal(await post(running, "/evacuations/vogar/pause"), 404);
     });
 
-    it("answers that an order can't be taken now where no majority keeps it", async () => {
+    it("answers 503 when no majority can store the order", async () => {
         const running = await startFleet();
         for (const number of [1, 2, 3, 4]) await running.killControl(number);
         await running.pass(3_000);
--- a/src/platform/heartbeat/index.ts
+++ b/src/platform/heartbeat/index.ts
@@ -3,67 +3,71 @@
 import { parseAddress } from "../../ports/index.js";
 import { Announcement, LoadReport } from "../../protocol/index.js";
 
-/** A heartbeat that names no upstream to use. */
+/** A heartbeat that is malformed, so that its upstream can't be used. */
 export class HeartbeatError extends Error {}
 
 const heartbeatSchema = z.looseObject({
     /** The pool that the engine belongs to. */
     service: z.string().min(1),
-    /** `IP:port` where it takes requests. */
+    /** `IP:port` at which the engine accepts requests. */
     address: z.string().refine(text => parseAddress(text) !== undefined, "no IP:port"),
     zone: z.string().min(1),
     slots: z.int().min(1),
     state: z.enum(["ready", "draining"]),
-    /** Counts this engine's heartbeats since its start. */
+    /** Number of heartbeats that the engine has sent since its start. */
     sequence: z.int().min(0),
-    /** When the engine started, in Unix milliseconds. */
+    /** Start time of the engine, in Unix milliseconds. */
     born: z.int().min(0).default(0),
-    /** How much longer the engine stays cold after its start. */
+    /** Remaining time for which the engine is cold after its start, in milliseconds. */
     coldRemainingMs: z.number().min(0).default(0),
-    /** Given by model engines only. */
+    /** Sent by model engines only. */
     stage: z.string().optional(),
-    /** The platform may take it back. */
+    /** Whether the platform may reclaim the engine's machine. */
     spot: z.boolean().optional(),
-    /** How long until the platform takes it back. */
+    /** Time until the platform reclaims the machine, in milliseconds. */
     leaves_ms: z.number().min(0).optional(),
 });
 
-/** These engines report no load with their heartbeats. */
+/** Used for all engines: their heartbeats carry no load. */
 const UNKNOWN_LOAD: LoadReport = { running: 0, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
 
 /**
- * Turns a heartbeat into an announcement.
+ * Parses a heartbeat and converts it to an announcement.
  *
- * @param id - From the path.
+ * @param id - Instance ID from the request's path.
+ * @param body - JSON text.
  */
-export function readHeartbeat(id: string, body: Uint8Array): Either<HeartbeatError, Announcement> {
+export function parseHeartbeat(id: string, body: Uint8Array): Either<HeartbeatError, Announcement> {
     return Either.encase(() => heartbeatSchema.parse(JSON.parse(Buffer.from(body).toString())))
-        .mapLeft(err => new HeartbeatError(describe(err)))
-        .map(beat => ({
+        .mapLeft(err => new HeartbeatError(describeError(err)))
+        .map(heartbeat => ({
             id,
-            incarnation: beat.born,
-            sequence: beat.sequence,
-            state: beat.state === "draining" ? "leaving" : "ready",
-            kind: beat.stage === undefined ? "service" : "engine",
-            pools: [beat.service],
-            zone: beat.zone,
-            address: beat.address,
-            slots: beat.slots,
+            incarnation: heartbeat.born,
+            sequence: heartbeat.sequence,
+            state: heartbeat.state === "draining" ? "leaving" : "ready",
+            kind: heartbeat.stage === undefined ? "service" : "engine",
+            pools: [heartbeat.service],
+            zone: heartbeat.zone,
+            address: heartbeat.address,
+            slots: heartbeat.slots,
             price_per_hour: 0,
-            reclaimable: beat.spot ?? false,
+            reclaimable: heartbeat.spot ?? false,
             checks_fence: false,
             load: UNKNOWN_LOAD,
-            ...(beat.coldRemainingMs > 0 ? { cold_ms: beat.coldRemainingMs } : {}),
-            ...(beat.leaves_ms === undefined ? {} : { reclaim_in_ms: beat.leaves_ms }),
+            ...(heartbeat.coldRemainingMs > 0 ? { cold_ms: heartbeat.coldRemainingMs } : {}),
+            ...(heartbeat.leaves_ms === undefined ? {} : { reclaim_in_ms: heartbeat.leaves_ms }),
         }));
 }
 
-/** The last word of an engine that says only that it leaves: what it said before, ended. */
-export function endAnnouncement(known: Announcement): Announcement {
-    return { ...known, state: "gone", sequence: known.sequence + 1 };
+/**
+ * Creates the final announcement of an engine that deregisters without sending its fields: its last announcement, with the
+ * state `gone`.
+ */
+export function makeGoneAnnouncement(last: Announcement): Announcement {
+    return { ...last, state: "gone", sequence: last.sequence + 1 };
 }
 
-function describe(err: Error): string {
+function describeError(err: Error): string {
     if (!(err instanceof z.ZodError)) return err.message;
     const [issue] = err.issues;
     return `${issue.path.join(".") || "heartbeat"}: ${issue.message}`;
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -1,4 +1,4 @@
-/** The program that the platform starts on each machine: one process of the role that its first word names. */
+/** The program that the platform starts on each machine. The first command-line argument selects the role of the process. */
 import { DaemonPorts, DaemonProcess } from "../daemon/index.js";
 import { Incarnation } from "../ids/index.js";
 import { BoundedOutput, JsonLogger, Logger } from "../logging/index.js";
@@ -17,22 +17,22 @@
 import { runControlNode } from "./runControlNode/index.js";
 import { runEntryNode } from "./runEntryNode/index.js";
 
-const SETTINGS_VARIABLE = "SEQUOIAMUX_NODE_FILE";
-/** Where the figures are fetched, on each machine; deploy/system.toml names the same. */
+const SETTINGS_FILE_VARIABLE = "SEQUOIAMUX_NODE_FILE";
+/** Port on which each machine serves its metrics; `deploy/system.toml` names the same port. */
 const METRICS_PORT = 9_464;
-/** How often the settings file is looked at, in milliseconds: it may change without a signal. */
-const SETTINGS_EVERY_MS = 3_000;
-const EXIT_FAULT = 1;
+/** Interval at which the settings file is reread; the file may change without a signal. */
+const SETTINGS_POLL_INTERVAL_MS = 3_000;
+const EXIT_FAILURE = 1;
 const EXIT_USAGE = 2;
 
-/** A process of either role. */
+/** A running process of either role. */
 interface RunningNode extends DaemonProcess {
     readonly reload: (settings: NodeSettings) => void;
 }
 
 async function main(): Promise<void> {
     const [role] = process.argv.slice(2);
-    if (role !== "entry" && role !== "control") fail(["usage: sequoiamux entry|control"]);
+    if (role !== "entry" && role !== "control") exitWithUsageError(["usage: sequoiamux entry|control"]);
     const settings = await loadSettings();
     const clock = new SystemClock();
     const output = new BoundedOutput(writeToStandardOutput, (ms, callback) => void clock.after(ms, callback));
@@ -45,8 +45,8 @@
     });
     const metrics = new PromMetrics();
     const ports = makePorts(settings, clock, logger, metrics);
-    process.on("unhandledRejection", err => endFailed(err, logger));
-    process.on("uncaughtException", err => endFailed(err, logger));
+    process.on("unhandledRejection", err => exitOnFailure(err, logger));
+    process.on("uncaughtException", err => exitOnFailure(err, logger));
     logger.info("starting", { incarnation: ports.self.incarnation, firstStart: settings.isFirstStart });
     const node: RunningNode = role === "entry"
         ? await runEntryNode(ports, settings)
@@ -54,7 +54,7 @@
     await serveMetrics(ports, settings, metrics);
     watchSettings(node, logger, clock);
     stopOnSignal(node, logger);
-    void node.failed?.then(err => endFailed(err, logger));
+    void node.failed?.then(err => exitOnFailure(err, logger));
     logger.info("started", { seeds: settings.seeds.map(({ host }) => host).join(" ") });
 }
 
@@ -74,21 +74,21 @@
     };
 }
 
-/** Settings that a process can't run by. */
+/** Thrown when the settings are missing or invalid. */
 class SettingsError extends Error {
-    /** @param problems - One line each. */
+    /** @param problems - One line per problem. */
     constructor(readonly problems: readonly string[]) {
         super(problems.join("; "));
     }
 }
 
 async function loadSettings(): Promise<NodeSettings> {
-    const path = process.env[SETTINGS_VARIABLE];
-    if (path === undefined) throw new SettingsError([`${SETTINGS_VARIABLE} is not set`]);
+    const path = process.env[SETTINGS_FILE_VARIABLE];
+    if (path === undefined) throw new SettingsError([`${SETTINGS_FILE_VARIABLE} is not set`]);
     const bytes = await new FileDisk("/").read(path);
     if (!bytes) throw new SettingsError([`${path}: there is no such file`]);
-    const read = readNodeSettings(parseNodeFile(Buffer.from(bytes).toString()));
-    return read.caseOf({
+    const result = readNodeSettings(parseNodeFile(Buffer.from(bytes).toString()));
+    return result.caseOf({
         Left: problems => {
             throw new SettingsError(problems);
         },
@@ -103,7 +103,10 @@
     });
 }
 
-/** Takes over other seeds; a file that can't be read changes nothing. */
+/**
+ * Reloads the settings file at an interval and on SIGHUP, and applies changed seeds. When the file can't be read, the
+ * settings in use stay.
+ */
 function watchSettings(node: RunningNode, logger: Logger, clock: SystemClock): void {
     const reload = async (cause: string): Promise<void> => {
         try {
@@ -115,41 +118,41 @@
             logger.warn("settings-unread", { cause, problem: (err as Error).message });
         }
     };
-    const look = (): void => {
+    const poll = (): void => {
         void reload("look");
-        clock.after(SETTINGS_EVERY_MS, look);
+        clock.after(SETTINGS_POLL_INTERVAL_MS, poll);
     };
-    clock.after(SETTINGS_EVERY_MS, look);
+    clock.after(SETTINGS_POLL_INTERVAL_MS, poll);
     process.on("SIGHUP", () => void reload("signal"));
 }
 
-/** Ends in good order on the first signal, at once on the second. */
+/** Drains and exits on the first SIGTERM or SIGINT; exits immediately on the second. */
 function stopOnSignal(node: RunningNode, logger: Logger): void {
     let isStopping = false;
     const stop = async (): Promise<void> => {
-        if (isStopping) process.exit(EXIT_FAULT);
+        if (isStopping) process.exit(EXIT_FAILURE);
         isStopping = true;
         logger.info("stopping");
-        const whole = await node.drain();
-        logger.info("stopped", { whole });
+        const isClean = await node.drain();
+        logger.info("stopped", { whole: isClean });
         process.exit(0);
     };
     process.on("SIGTERM", () => void stop());
     process.on("SIGINT", () => void stop());
 }
 
-function endFailed(err: unknown, logger: Logger): void {
+function exitOnFailure(err: unknown, logger: Logger): void {
     logger.error("process-failed", { problem: String((err as Error).stack ?? err) });
-    process.exit(EXIT_FAULT);
+    process.exit(EXIT_FAILURE);
 }
 
-function fail(lines: readonly string[]): never {
+function exitWithUsageError(lines: readonly string[]): never {
     for (const line of lines) console.error(`sequoiamux: ${line}`);
     process.exit(EXIT_USAGE);
 }
 
 main().catch((err: unknown) => {
-    if (err instanceof SettingsError) fail(err.problems);
+    if (err instanceof SettingsError) exitWithUsageError(err.problems);
     console.error(`sequoiamux: ${String((err as Error).stack ?? err)}`);
-    process.exit(EXIT_FAULT);
+    process.exit(EXIT_FAILURE);
 });
--- a/src/platform/nodeFile/index.ts
+++ b/src/platform/nodeFile/index.ts
@@ -1,8 +1,9 @@
-/** A machine's settings file: names with dots, and their values as text. */
+/** Content of a machine's settings file: dotted names and their values as text. */
 export type NodeFile = ReadonlyMap<string, string>;
 
 /**
- * Reads the platform's settings format, lines of `a.b=value`. Lines of another form are left out: newer platforms may write more.
+ * Parses the platform's settings format, lines of `a.b=value`. Other lines are ignored, since newer versions of the platform
+ * may add some.
  *
  * @example
  * parseNodeFile("nodeName=edge-1\n").get("nodeName"); // "edge-1"
--- a/src/platform/nodeSettings/index.ts
+++ b/src/platform/nodeSettings/index.ts
@@ -3,7 +3,7 @@
 import { Address, parseAddress } from "../../ports/index.js";
 import { NodeFile } from "../nodeFile/index.js";
 
-/** What of a machine's settings both roles need, in the product's words. */
+/** Settings of a machine for both roles, converted from the platform's names and units. */
 export interface NodeSettings {
     readonly host: HostId;
     readonly zone: ZoneId;
@@ -11,105 +11,116 @@
     /** All zones of the platform (`zones.NAME`). */
     readonly zones: readonly ZoneId[];
     readonly ip: string;
-    /** Where entries' callers come in (`listen.frontend`); undefined on machines without an entry. */
+    /** Address on which an entry listens for callers (`listen.frontend`); undefined on machines without an entry. */
     readonly callers: Address | undefined;
-    /** Where the platform asks whether the entry is ready (`listen.ready`). */
+    /** Address on which the platform queries the entry's readiness (`listen.ready`). */
     readonly readiness: Address | undefined;
-    /** Where upstreams and operators reach a control process (`listen.controlPlane`). */
+    /** Address on which a control process listens for upstreams and operators (`listen.controlPlane`). */
     readonly control: Address | undefined;
-    /** Where control processes talk to each other and to entries: the same port on each machine. */
+    /** Port on which control processes accept connections of each other and of entries; the same on each machine. */
     readonly controlPeerPort: number;
+    /** Port on which entries accept connections of the system's other processes. */
     readonly entryPeerPort: number;
-    /** Hosts of control processes (`seeds` names their public addresses; between own processes only the IP number counts). */
+    /**
+     * Peer addresses of control processes. The file's `seeds` lists their public addresses; only the IP numbers are taken
+     * from it, together with `controlPeerPort`.
+     */
     readonly seeds: readonly Address[];
-    /** This host's control process is one of the seeds. */
+    /** Whether this host's control process is one of the seeds. */
     readonly isSeed: boolean;
-    /** The whole system starts for the first time. */
+    /** Whether the whole system starts for the first time. */
     readonly isFirstStart: boolean;
+    /** Folder for a control process's data (`dataDir`); undefined on machines without one. */
     readonly dataFolder: string | undefined;
+    /** Interval between heartbeats of an upstream. */
     readonly heartbeatMs: number;
-    /** How many machines with a disk may be lost at once. */
+    /** Number of machines with a disk that may be lost at the same time. */
     readonly toleratedLosses: number;
-    /** The platform's interface for usage and orders (`cloudApi`); undefined where there is none. */
+    /** Address of the platform's interface for usage reports and orders (`cloudApi.address`); undefined without one. */
     readonly platform: Address | undefined;
-    /** It refuses calls with an old fencing token. */
+    /** Whether the platform refuses calls with an old fencing token. */
     readonly platformChecksFence: boolean;
+    /** Grace period for a planned stop. */
     readonly graceMs: number;
-    /** How soon after its withdrawal was acknowledged a key must be refused everywhere. */
+    /** Maximum time from the acknowledgement of a key's withdrawal until every entry refuses the key. */
     readonly revokeMs: number;
-    /** Within this span two holders of a duty must not take turns. */
+    /** Two holders of a duty must not alternate within this time. */
     readonly dutyLeaseMs: number;
+    /** Length of a usage window. */
     readonly usageWindowMs: number;
-    /** How soon after its end a window's usage is due. */
+    /** Maximum time from the end of a usage window until its usage must be reported. */
     readonly usageDueMs: number;
+    /** Retry budget: maximum retries as a share of the requests in `repeatWindowMs`, in addition to `repeatSlack`. */
     readonly repeatRatio: number;
+    /** Retry budget: length of the window in which requests and retries are counted. */
     readonly repeatWindowMs: number;
+    /** Retry budget: number of retries that are allowed whatever the number of requests. */
     readonly repeatSlack: number;
 }
 
 const MS_PER_SECOND = 1_000;
-/** Begins the names of the fields that give each zone's region. */
-const ZONE_PREFIX = "zones.";
+/** Prefix of the fields that name each zone's region, such as `zones.vogar`. */
+const ZONE_FIELD_PREFIX = "zones.";
 
 /**
- * Turns a settings file into settings.
+ * Reads and checks the settings of a machine.
  *
  * @returns On the left, one line for each field that is missing or can't be read.
  */
 export function readNodeSettings(file: NodeFile): Either<readonly string[], NodeSettings> {
     const problems: string[] = [];
-    const text = (name: string): string => {
+    const readText = (name: string): string => {
         const value = file.get(name);
         if (value === undefined || value === "") problems.push(`${name} is missing`);
         return value ?? "";
     };
-    const number = (name: string, fallback: number): number => {
+    const readNumber = (name: string, fallback: number): number => {
         const value = file.get(name);
-        const read = value === undefined || value === "" ? fallback : Number(value);
-        if (!Number.isFinite(read)) problems.push(`${name} is no number: ${value}`);
-        return read;
+        const parsed = value === undefined || value === "" ? fallback : Number(value);
+        if (!Number.isFinite(parsed)) problems.push(`${name} is no number: ${value}`);
+        return parsed;
     };
-    const address = (name: string): Address | undefined => {
+    const readAddress = (name: string): Address | undefined => {
         const value = file.get(name);
         if (value === undefined || value === "") return undefined;
-        const read = parseAddress(value);
-        if (!read) problems.push(`${name} is no IP:port: ${value}`);
-        return read;
+        const parsed = parseAddress(value);
+        if (!parsed) problems.push(`${name} is no IP:port: ${value}`);
+        return parsed;
     };
-    const seconds = (name: string, fallback: number): number => MS_PER_SECOND * number(name, fallback);
-    const [firstPort] = text("internalPorts").split(",").map(Number);
+    const readSecondsAsMs = (name: string, fallback: number): number => MS_PER_SECOND * readNumber(name, fallback);
+    const [firstPort] = readText("internalPorts").split(",").map(Number);
     if (!Number.isInteger(firstPort)) problems.push("internalPorts names no port");
     const controlPeerPort = firstPort;
-    const seedHosts = text("seeds").split(",").map(seed => parseAddress(seed.trim())?.host);
+    const seedHosts = readText("seeds").split(",").map(seed => parseAddress(seed.trim())?.host);
     const seeds = seedHosts.flatMap(host => host === undefined ? [] : [{ host, port: controlPeerPort }]);
-    const ip = text("ip");
+    const ip = readText("ip");
     const settings: NodeSettings = {
-        host: text("nodeName") as HostId,
-        zone: text("zone") as ZoneId,
-        region: text("region"),
+        host: readText("nodeName") as HostId,
+        zone: readText("zone") as ZoneId,
+        region: readText("region"),
         zones: listZones(file),
         ip,
-        callers: address("listen.frontend"),
-        readiness: address("listen.ready"),
-        control: address("listen.controlPlane"),
+        callers: readAddress("listen.frontend"),
+        readiness: readAddress("listen.ready"),
+        control: readAddress("listen.controlPlane"),
         controlPeerPort,
         entryPeerPort: controlPeerPort + 1,
         seeds,
         isSeed: seeds.some(({ host }) => host === ip),
         isFirstStart: file.get("firstStart") === "true",
         dataFolder: file.get("dataDir") || undefined,
-        heartbeatMs: number("heartbeatMs", 1_200),
-        toleratedLosses: number("faultTolerance.machines", 1),
-        platform: address("cloudApi.address"),
+        heartbeatMs: readNumber("heartbeatMs", 1_200),
+        toleratedLosses: readNumber("faultTolerance.machines", 1),
+        platform: readAddress("cloudApi.address"),
         platformChecksFence: file.get("bounds.fencingRequired") === "true",
-        graceMs: seconds("bounds.graceS", 8),
-        revokeMs: number("bounds.revokeMs", 5_000),
-        dutyLeaseMs: number("bounds.leaseMs", 3_000),
-        usageWindowMs: seconds("bounds.reportWindowS", 5),
-        usageDueMs: seconds("bounds.usageLateS", 10),
-        repeatRatio: number("bounds.retryBudgetRatio", 0.2),
-        repeatWindowMs: seconds("bounds.budgetWindowS", 10),
-        repeatSlack: number("bounds.retryBudgetSlack", 50),
+        graceMs: readSecondsAsMs("bounds.graceS", 8),
+        revokeMs: readNumber("bounds.revokeMs", 5_000),
+        dutyLeaseMs: readNumber("bounds.leaseMs", 3_000),
+        usageWindowMs: readSecondsAsMs("bounds.reportWindowS", 5),
+        usageDueMs: readSecondsAsMs("bounds.usageLateS", 10),
+        repeatRatio: readNumber("bounds.retryBudgetRatio", 0.2),
+        repeatWindowMs: readSecondsAsMs("bounds.budgetWindowS", 10),
+        repeatSlack: readNumber("bounds.retryBudgetSlack", 50),
     };
     if (seeds.length === 0) problems.push("seeds names no address");
     return problems.length > 0 ? Left(problems) : Right(settings);
@@ -117,6 +128,6 @@
 
 function listZones(file: NodeFile): ZoneId[] {
     return [...file.keys()]
-        .filter(name => name.startsWith(ZONE_PREFIX))
-        .map(name => name.slice(ZONE_PREFIX.length) as ZoneId);
+        .filter(name => name.startsWith(ZONE_FIELD_PREFIX))
+        .map(name => name.slice(ZONE_FIELD_PREFIX.length) as ZoneId);
 }
--- a/src/platform/nodeSettings/test.ts
+++ b/src/platform/nodeSettings/test.ts
@@ -19,7 +19,7 @@
 `;
 
 describe("readNodeSettings", () => {
-    it("reads a machine's settings in the product's words", () => {
+    it("converts a machine's settings", () => {
         const settings = readNodeSettings(parseNodeFile(TEXT)).unsafeCoerce();
         assert.equal(settings.host, "core-vogar-1");
         assert.deepEqual(settings.seeds, [{ host: "10.1.0.21", port: 7340 }, { host: "10.2.0.38", port: 7340 }]);
--- a/src/platform/documentReader/index.ts
+++ b/src/platform/parseFleetDocument/index.ts
@@ -2,15 +2,15 @@
 import * as z from "zod";
 import { CallKind, checkDocument, DEFAULT_CALLER_LIMITS, DocumentError, FleetDocument } from "../../routing/index.js";
 
-/** The platform's kinds of calls, in the product's words. */
-const KINDS: Readonly<Record<string, CallKind>> = {
+/** Maps the platform's call kinds to those of the fleet document. */
+const CALL_KINDS: Readonly<Record<string, CallKind>> = {
     idempotent: "idempotent",
     non_idempotent: "once",
     streaming: "stream",
 };
 const MS_PER_SECOND = 1_000;
-/** Connections to an upstream of a service that names no bound. */
-const DEFAULT_CONNECTIONS = 100;
+/** Maximum connections to an upstream when its service configures none. */
+const DEFAULT_MAX_CONNECTIONS = 100;
 
 const routeSchema = z.looseObject({
     name: z.string(),
@@ -18,13 +18,13 @@
     pathPrefix: z.string(),
     kind: z.enum(["idempotent", "non_idempotent", "streaming"]),
     timeoutMs: z.number(),
-    /** The time within which an answer is on time; no timeout. */
+    /** Latency objective of an answer, in milliseconds. Requests aren't cut off by it. */
     targetLatencyMs: z.number().default(0),
     targetGapMs: z.number().optional(),
     priority: z.int().min(0).default(0),
     service: z.string().optional(),
     weightedSplit: z.array(z.looseObject({ service: z.string(), weight: z.number() })).optional(),
-    /** How many engines may be sent one attempt of a client. */
+    /** Maximum number of engines to which one client attempt is sent. */
     maxAttempts: z.int().default(1),
     authExempt: z.boolean().default(false),
     resumable: z.boolean().default(false),
@@ -33,7 +33,7 @@
 const engineSchema = z.looseObject({
     kvCapacity: z.number().default(0),
     kvBytes: z.number().default(0),
-    /** Tokens that one event holds. */
+    /** Tokens per stream event. */
     stride: z.number().default(1),
     pinMs: z.number().default(0),
     moves: z.boolean().default(false),
@@ -49,10 +49,10 @@
 
 const serviceSchema = z.looseObject({
     name: z.string(),
-    maxConnections: z.int().default(DEFAULT_CONNECTIONS),
-    /** How long an engine is cold after its start. */
+    maxConnections: z.int().default(DEFAULT_MAX_CONNECTIONS),
+    /** Duration for which an engine is cold after its start, in seconds. */
     coldS: z.number().min(0).default(0),
-    /** What a cold engine bears, from all hosts together; 0 where engines are never cold. */
+    /** Requests per second that a cold engine can handle, from all hosts together; 0 when engines are never cold. */
     coldPerS: z.number().min(0).default(0),
     engine: engineSchema.optional(),
     scaling: scalingSchema.optional(),
@@ -78,13 +78,13 @@
 });
 
 /**
- * Turns the platform's configuration into a fleet document.
+ * Parses the platform's configuration, checks it and converts it to a fleet document.
  *
- * @param source - What the operator sent.
- * @returns On the left, why it is refused as a whole.
+ * @param source - JSON text as the operator sent it.
+ * @returns The document, or on the left the first problem; a configuration with a problem is refused as a whole.
  */
-export function readDocument(source: Uint8Array): Either<DocumentError, FleetDocument> {
-    return parseJson(source).chain(parseConfig).chain(config => checkDocument(translate(config)));
+export function parseFleetDocument(source: Uint8Array): Either<DocumentError, FleetDocument> {
+    return parseJson(source).chain(parseConfig).chain(config => checkDocument(toFleetDocument(config)));
 }
 
 function parseJson(source: Uint8Array): Either<DocumentError, unknown> {
@@ -99,11 +99,11 @@
     });
 }
 
-function translate({ version, routes, services, limits, tenants }: z.infer<typeof configSchema>): unknown {
+function toFleetDocument({ version, routes, services, limits, tenants }: z.infer<typeof configSchema>): unknown {
     return {
         version,
-        routes: routes.map(translateRoute),
-        pools: services.map(translateService),
+        routes: routes.map(toRoute),
+        pools: services.map(toPool),
         limits: limits
             ? {
                 headerBytes: limits.maxHeaderBytes,
@@ -116,14 +116,14 @@
     };
 }
 
-function translateRoute(route: z.infer<typeof routeSchema>): unknown {
+function toRoute(route: z.infer<typeof routeSchema>): unknown {
     const { service, weightedSplit, kind, maxAttempts, authExempt, targetLatencyMs, targetGapMs, priority } = route;
-    const whole = service === undefined ? [] : [{ pool: service, weight: 1 }];
+    const singleTarget = service === undefined ? [] : [{ pool: service, weight: 1 }];
     return {
         name: route.name,
         host: route.host,
         pathPrefix: route.pathPrefix,
-        kind: KINDS[kind],
+        kind: CALL_KINDS[kind],
         timeoutMs: route.timeoutMs,
         targetMs: targetLatencyMs,
         gapMs: targetGapMs,
@@ -131,11 +131,11 @@
         attempts: Math.max(1, maxAttempts),
         resumable: route.resumable,
         keyless: authExempt,
-        targets: weightedSplit?.map(part => ({ pool: part.service, weight: part.weight })) ?? whole,
+        targets: weightedSplit?.map(split => ({ pool: split.service, weight: split.weight })) ?? singleTarget,
     };
 }
 
-function translateService(
+function toPool(
     { name, maxConnections, coldS, coldPerS, engine, scaling }: z.infer<typeof serviceSchema>,
 ): unknown {
     return {
--- a/src/platform/documentReader/test.ts
+++ b/src/platform/parseFleetDocument/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { readDocument } from "./index.js";
+import { parseFleetDocument } from "./index.js";
 
 const ROUTE = {
     name: "r-1",
@@ -33,13 +33,13 @@
     tenants: [{ name: "hule930", apiKeys: ["k1", "k2"], priority: 1 }],
 };
 
-function read(config: unknown) {
-    return readDocument(Buffer.from(JSON.stringify(config)));
+function parse(config: unknown) {
+    return parseFleetDocument(Buffer.from(JSON.stringify(config)));
 }
 
 describe("readDocument", () => {
     it("turns a configuration into a fleet document", () => {
-        const document = read(CONFIG).unsafeCoerce();
+        const document = parse(CONFIG).unsafeCoerce();
         assert.equal(document.version, 7);
         assert.equal(document.routes[0].kind, "stream");
         assert.deepEqual(document.routes[0].targets, [{ pool: "llm", weight: 90 }, { pool: "app", weight: 10 }]);
@@ -48,19 +48,19 @@
         assert.deepEqual(document.workspaces, [{ workspace: "hule930", keys: ["k1", "k2"], tier: 1 }]);
     });
 
-    it("knows what engines bear that have just started", () => {
+    it("converts the request rate of cold engines", () => {
         const [llm, app] = CONFIG.services;
         const services = [{ ...llm, coldS: 3, coldPerS: 9.5 }, { ...app, coldS: 0, coldPerS: 0 }];
-        const { pools } = read({ ...CONFIG, services }).unsafeCoerce();
+        const { pools } = parse({ ...CONFIG, services }).unsafeCoerce();
         assert.deepEqual(pools[0].cold, { durationMs: 3_000, requestsPerSecond: 9.5 });
         assert.equal(pools[1].cold, undefined);
     });
 
-    it("takes what it does not know", () => {
-        assert.ok(read({ ...CONFIG, later: { more: 1 }, routes: [{ ...ROUTE, later: 1 }] }).isRight());
+    it("accepts unknown fields", () => {
+        assert.ok(parse({ ...CONFIG, later: { more: 1 }, routes: [{ ...ROUTE, later: 1 }] }).isRight());
     });
 
-    it("refuses what can't be read or does not fit", () => {
+    it("refuses truncated JSON and invalid or inconsistent values", () => {
         const bad: unknown[] = [
             { ...CONFIG, routes: [{ ...ROUTE, timeoutMs: 0 }] },
             { ...CONFIG, routes: [{ ...ROUTE, weightedSplit: [{ service: "llm", weight: 0 }] }] },
@@ -69,7 +69,7 @@
             { ...CONFIG, tenants: [...CONFIG.tenants, { name: "other", apiKeys: ["k1"] }] },
             { ...CONFIG, version: undefined },
         ];
-        for (const config of bad) assert.ok(read(config).isLeft(), JSON.stringify(config).slice(0, 80));
-        assert.ok(readDocument(Buffer.from(JSON.stringify(CONFIG).slice(0, -20))).isLeft());
+        for (const config of bad) assert.ok(parse(config).isLeft(), JSON.stringify(config).slice(0, 80));
+        assert.ok(parseFleetDocument(Buffer.from(JSON.stringify(CONFIG).slice(0, -20))).isLeft());
     });
 });
--- a/src/platform/cloudCalls/index.ts
+++ b/src/platform/platformCalls/index.ts
@@ -3,32 +3,32 @@
 import { Address, HeaderList } from "../../ports/index.js";
 
 /**
- * Gives what writes the holder's calls to the platform.
+ * Creates the functions that build the holder's calls to the platform.
  *
- * @param platform - Where its interface is.
- * @param self - Who acts.
+ * @param platform - Address of the platform's interface.
+ * @param self - Host that makes the calls.
  */
-export function cloudCallsOf(
+export function makePlatformCalls(
     platform: Address,
     self: HostId,
 ): Required<Pick<RoutingPlatform, "describeStarts" | "describeSize">> {
     const call = (path: string, body: unknown, term: HolderTerm): FencedCall => ({
         address: platform,
         path,
-        headers: dutyHeaders(self, term),
+        headers: makeFencingHeaders(self, term),
         body,
     });
     return {
         describeStarts: ({ window, counts }, term) => call("/usage", { windowId: window, counts }, term),
         describeSize: ({ pool, zone, count, reclaimable }, term) => {
-            // Each kind is ordered and counted by itself; the word is left out for steady ones.
+            // Reclaimable and steady instances are ordered and counted separately; steady ones omit the `spot` field.
             const kind = reclaimable ? { spot: true } : {};
             return call("/scale", { service: pool, zone, desiredCount: count, ...kind }, term);
         },
     };
 }
 
-/** Names who acts, and which term of the control lease it acts in. */
-function dutyHeaders(self: HostId, { token }: HolderTerm): HeaderList {
+/** Identifies the calling host and its term of the control lease. */
+function makeFencingHeaders(self: HostId, { token }: HolderTerm): HeaderList {
     return [["sequoiamux-duty-holder", self], ["sequoiamux-fencing-token", String(token)]];
 }
--- a/src/platform/wireDialect/index.ts
+++ b/src/platform/platformDialect/index.ts
@@ -16,108 +16,108 @@
 import { findHeader, formatAddress, HeaderList, HttpReply, HttpRequest } from "../../ports/index.js";
 import { PromptPart } from "../../upstream/index.js";
 
-/** Headers as the platform names them. */
-const HEADER = {
+/** Names of the platform's headers. */
+const HEADER_NAMES = {
     attempt: "sequoiamux-attempt-id",
     deadline: "sequoiamux-deadline-ms",
     model: "sequoiamux-model",
-    /** Prompt tokens and the most output tokens, separated by a comma. */
+    /** Prompt tokens and maximum output tokens, separated by a comma. */
     usage: "sequoiamux-token-usage",
-    /** The prompt's parts, `ID:TOKENS` each. */
+    /** Parts of the prompt, each as `ID:TOKENS`, separated by commas. */
     prefix: "sequoiamux-prefix-hash",
     lengthHint: "sequoiamux-length-hint",
     tenant: "sequoiamux-tenant",
     expectInstance: "sequoiamux-expect-instance",
     notExecuted: "sequoiamux-not-executed",
-    /** An upstream's signature of its answer. */
+    /** Signature of the response by its upstream. */
     stamp: "sequoiamux-response-stamp",
-    /** Requests a second that an upstream takes from all hosts together. */
+    /** Requests per second that an upstream accepts from all hosts together. */
     requestLimit: "server-limit",
     priority: "sequoiamux-priority-class",
     lastEventId: "last-event-id",
-    /** `IP:PORT` of an engine from which the one addressed fetches what it lacks of the prompt. */
+    /** `IP:PORT` of another engine from which the addressed engine fetches the parts of the prompt that it lacks. */
     fetchFrom: "kv-fetch",
 } as const;
 
-/** What only the system may say to an upstream; as a caller sends it, it is dropped. */
-const OWN_HEADERS: ReadonlySet<string> = new Set([
+/** Request headers that only the system may send to an upstream; those sent by a caller are dropped. */
+const RESERVED_HEADERS: ReadonlySet<string> = new Set([
     "authorization",
-    // Set anew from the body as it is sent.
+    // Recomputed from the body that is sent.
     "content-length",
-    HEADER.deadline,
-    HEADER.tenant,
-    HEADER.expectInstance,
-    HEADER.priority,
-    HEADER.lastEventId,
+    HEADER_NAMES.deadline,
+    HEADER_NAMES.tenant,
+    HEADER_NAMES.expectInstance,
+    HEADER_NAMES.priority,
+    HEADER_NAMES.lastEventId,
     "sequoiamux-expect-version",
     "sequoiamux-hold",
     "sequoiamux-pin-ms",
     "sequoiamux-kv-backup",
     "kv-from",
-    HEADER.fetchFrom,
+    HEADER_NAMES.fetchFrom,
 ]);
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
 const STATUS_OK = 200;
 const STATUS_MISDIRECTED = 421;
 const MS_PER_SECOND = 1_000;
-const LOWEST_PRIORITY = 9;
-const ATTEMPT_PATTERN = /^[\x21-\x7e]{1,200}$/;
-const KEY_PATTERN = /^token +(\S+)$/i;
-const PART_PATTERN = /^([0-9a-f]+):(\d+)$/i;
+const MAX_PRIORITY_CLASS = 9;
+const ATTEMPT_ID_PATTERN = /^[\x21-\x7e]{1,200}$/;
+const AUTHORIZATION_PATTERN = /^token +(\S+)$/i;
+const PROMPT_PART_PATTERN = /^([0-9a-f]+):(\d+)$/i;
 
-/** What an engine keeps of prompts; `epoch` and `next` serve those who follow its changes. */
+/** An engine's list of cached prompt parts. The fields `epoch` and `next`, for clients that follow changes, are not used. */
 const cacheListSchema = z.looseObject({
-    /** An empty text, the part's ID, its tokens, and the model. */
+    /** Per part: an empty string, the part's ID, its number of tokens, and the model. */
     held: z.array(z.tuple([z.string(), z.string(), z.number().min(0)]).rest(z.unknown())),
 });
 
-/** The platform's words for calls. */
-export class WireDialect extends CallDialect {
+/** Reads and writes calls in the platform's header format. */
+export class PlatformDialect extends CallDialect {
     readHead(req: HttpRequest): Either<CallError, CallHead> {
         const { headers } = req;
-        const attempts = headers.filter(([name]) => name === HEADER.attempt);
-        if (attempts.length !== 1 || !ATTEMPT_PATTERN.test(attempts[0][1])) {
-            return Left(new CallError("malformed", `a call needs one ${HEADER.attempt} header`));
+        const attempts = headers.filter(([name]) => name === HEADER_NAMES.attempt);
+        if (attempts.length !== 1 || !ATTEMPT_ID_PATTERN.test(attempts[0][1])) {
+            return Left(new CallError("malformed", `a call needs one ${HEADER_NAMES.attempt} header`));
         }
-        const key = KEY_PATTERN.exec(findHeader(headers, "authorization") ?? "")?.[1];
-        const [promptTokens = 0, maxTokens = 0] = readNumbers(findHeader(headers, HEADER.usage));
+        const key = AUTHORIZATION_PATTERN.exec(findHeader(headers, "authorization") ?? "")?.[1];
+        const [promptTokens = 0, maxTokens = 0] = parseNumbers(findHeader(headers, HEADER_NAMES.usage));
         return Right({
             key,
             promptTokens,
             maxTokens,
             request: attempts[0][1] as RequestId,
-            deadlineMs: readNumbers(findHeader(headers, HEADER.deadline)).at(0),
-            hintedTokens: readNumbers(findHeader(headers, HEADER.lengthHint)).at(0),
-            model: findHeader(headers, HEADER.model),
-            parts: readParts(findHeader(headers, HEADER.prefix)),
-            lastEventId: findHeader(headers, HEADER.lastEventId),
-            headers: withoutKey(endToEndHeaders(headers, OWN_HEADERS), key),
+            deadlineMs: parseNumbers(findHeader(headers, HEADER_NAMES.deadline)).at(0),
+            hintedTokens: parseNumbers(findHeader(headers, HEADER_NAMES.lengthHint)).at(0),
+            model: findHeader(headers, HEADER_NAMES.model),
+            parts: parsePromptParts(findHeader(headers, HEADER_NAMES.prefix)),
+            lastEventId: findHeader(headers, HEADER_NAMES.lastEventId),
+            headers: dropHeadersWithKey(endToEndHeaders(headers, RESERVED_HEADERS), key),
         });
     }
 
     writeHead(head: CallHead, marks: SendMarks): HeaderList {
         const { upstream, workspace, deadlineMs, priority, lastEventId, fetchFrom } = marks;
         const added: [string, string][] = [
-            [HEADER.deadline, String(deadlineMs)],
-            [HEADER.expectInstance, upstream],
-            [HEADER.priority, String(Math.min(LOWEST_PRIORITY, priority))],
+            [HEADER_NAMES.deadline, String(deadlineMs)],
+            [HEADER_NAMES.expectInstance, upstream],
+            [HEADER_NAMES.priority, String(Math.min(MAX_PRIORITY_CLASS, priority))],
         ];
-        if (workspace !== undefined) added.push([HEADER.tenant, workspace]);
-        if (lastEventId !== undefined) added.push([HEADER.lastEventId, lastEventId]);
-        if (fetchFrom !== undefined) added.push([HEADER.fetchFrom, formatAddress(fetchFrom)]);
+        if (workspace !== undefined) added.push([HEADER_NAMES.tenant, workspace]);
+        if (lastEventId !== undefined) added.push([HEADER_NAMES.lastEventId, lastEventId]);
+        if (fetchFrom !== undefined) added.push([HEADER_NAMES.fetchFrom, formatAddress(fetchFrom)]);
         return [...head.headers, ...added];
     }
 
     readReply({ status, headers }: HttpReply): ReplyHead {
         const isEncoded = findHeader(headers, "content-encoding") !== undefined;
         return {
-            request: findHeader(headers, HEADER.attempt),
-            refused: findHeader(headers, HEADER.notExecuted) !== undefined,
+            request: findHeader(headers, HEADER_NAMES.attempt),
+            refused: findHeader(headers, HEADER_NAMES.notExecuted) !== undefined,
             misdirected: status === STATUS_MISDIRECTED,
-            // No caller asks for an encoding, so an encoded body is not what the upstream made.
-            isSigned: findHeader(headers, HEADER.stamp) !== undefined && !isEncoded,
-            requestLimit: readRequestLimit(findHeader(headers, HEADER.requestLimit)),
+            // Callers don't request an encoding, so an encoded body isn't the one that the upstream produced and signed.
+            isSigned: findHeader(headers, HEADER_NAMES.stamp) !== undefined && !isEncoded,
+            requestLimit: readRequestLimit(findHeader(headers, HEADER_NAMES.requestLimit)),
             headers: endToEndHeaders(headers, NO_HEADERS),
         };
     }
@@ -130,7 +130,7 @@
     }
 
     writeCacheQuery(upstream: UpstreamId): UpstreamQuery {
-        return { method: "GET", path: "/kv-list", headers: [[HEADER.expectInstance, upstream]] };
+        return { method: "GET", path: "/kv-list", headers: [[HEADER_NAMES.expectInstance, upstream]] };
     }
 
     readCacheList(status: number, body: string): Either<CacheListError, PromptPart[]> {
@@ -141,19 +141,19 @@
     }
 }
 
-function readNumbers(text: string | undefined): number[] {
+function parseNumbers(text: string | undefined): number[] {
     if (text === undefined) return [];
     return text.split(",").map(Number).filter(value => Number.isFinite(value) && value >= 0);
 }
 
-function readParts(text: string | undefined): PromptPart[] {
+function parsePromptParts(text: string | undefined): PromptPart[] {
     return (text ?? "").split(",").flatMap(entry => {
-        const [, id, tokens] = PART_PATTERN.exec(entry.trim()) ?? [];
+        const [, id, tokens] = PROMPT_PART_PATTERN.exec(entry.trim()) ?? [];
         return id === undefined ? [] : [{ id, tokens: Number(tokens) }];
     });
 }
 
-/** A key that stands in another header too must not reach the upstream either. */
-function withoutKey(headers: HeaderList, key: string | undefined): HeaderList {
+/** Removes headers whose value contains the caller's API key: the key must not reach the upstream in any header. */
+function dropHeadersWithKey(headers: HeaderList, key: string | undefined): HeaderList {
     return key === undefined ? headers : headers.filter(([, value]) => !value.includes(key));
 }
--- a/src/platform/wireDialect/test.ts
+++ b/src/platform/platformDialect/test.ts
@@ -3,20 +3,20 @@
 import { UpstreamId, WorkspaceId } from "../../ids/index.js";
 import { CallError } from "../../passthrough/index.js";
 import { HeaderList, HttpReply, HttpRequest } from "../../ports/index.js";
-import { WireDialect } from "./index.js";
+import { PlatformDialect } from "./index.js";
 
-const dialect = new WireDialect();
+const dialect = new PlatformDialect();
 
-function request(headers: HeaderList): HttpRequest {
+function makeRequest(headers: HeaderList): HttpRequest {
     return { headers } as HttpRequest;
 }
 
-function reply(status: number, headers: HeaderList): HttpReply {
+function makeReply(status: number, headers: HeaderList): HttpReply {
     return { status, headers } as HttpReply;
 }
 
-const ATTEMPT = ["sequoiamux-attempt-id", "9c41"] as const;
-const MARKS = {
+const ATTEMPT_HEADER = ["sequoiamux-attempt-id", "9c41"] as const;
+const SEND_MARKS = {
     upstream: "i-1" as UpstreamId,
     workspace: "hule930" as WorkspaceId,
     deadlineMs: 900,
@@ -27,9 +27,9 @@
 
 describe("WireDialect", () => {
     describe("a caller's head", () => {
-        it("is read in the product's words", () => {
-            const head = dialect.readHead(request([
-                ATTEMPT,
+        it("is parsed from the platform's headers", () => {
+            const head = dialect.readHead(makeRequest([
+                ATTEMPT_HEADER,
                 ["authorization", "Token secret-key"],
                 ["sequoiamux-model", "m"],
                 ["sequoiamux-token-usage", "1460,80"],
@@ -42,16 +42,16 @@
         });
 
         it("needs exactly one attempt id", () => {
-            for (const headers of [[], [ATTEMPT, ATTEMPT]]) {
-                assert.equal(dialect.readHead(request(headers)).swap().unsafeCoerce().kind, "malformed");
+            for (const headers of [[], [ATTEMPT_HEADER, ATTEMPT_HEADER]]) {
+                assert.equal(dialect.readHead(makeRequest(headers)).swap().unsafeCoerce().kind, "malformed");
             }
         });
 
-        it("loses the key and all that is the system's to say", () => {
-            // A caller names another workspace, an engine's memory and a lease of its own, and repeats its key in a header of
-            // its own making: an engine would take all of it for the system's word, or learn the key.
-            const head = dialect.readHead(request([
-                ATTEMPT,
+        it("is forwarded without the key and the reserved headers", () => {
+            // A caller sends another workspace, an engine's memory and a lease, and repeats its key in a header of its own.
+            // Without the filter, an engine would accept these as set by the system, or receive the key.
+            const head = dialect.readHead(makeRequest([
+                ATTEMPT_HEADER,
                 ["authorization", "Token secret-key"],
                 ["sequoiamux-tenant", "other"],
                 ["sequoiamux-hold", "1"],
@@ -60,9 +60,9 @@
                 ["x-own", "kept"],
                 ["connection", "close"],
             ])).unsafeCoerce();
-            const sent = dialect.writeHead(head, MARKS);
+            const sent = dialect.writeHead(head, SEND_MARKS);
             assert.deepEqual(sent, [
-                ATTEMPT,
+                ATTEMPT_HEADER,
                 ["x-own", "kept"],
                 ["sequoiamux-deadline-ms", "900"],
                 ["sequoiamux-expect-instance", "i-1"],
@@ -73,29 +73,30 @@
     });
 
     describe("an upstream's head", () => {
-        it("tells a refusal from an answer", () => {
-            assert.equal(dialect.readReply(reply(503, [["sequoiamux-not-executed", "1"]])).refused, true);
-            assert.equal(dialect.readReply(reply(421, [])).misdirected, true);
-            assert.equal(dialect.readReply(reply(503, [])).refused, false);
+        it("distinguishes a refusal from an answer", () => {
+            assert.equal(dialect.readReply(makeReply(503, [["sequoiamux-not-executed", "1"]])).refused, true);
+            assert.equal(dialect.readReply(makeReply(421, [])).misdirected, true);
+            assert.equal(dialect.readReply(makeReply(503, [])).refused, false);
         });
 
-        it("tells how many requests a second the upstream takes, where it says so", () => {
-            const limitOf = (value: string) => dialect.readReply(reply(200, [["server-limit", value]])).requestLimit;
+        it("contains the upstream's limit of requests per second, if any", () => {
+            const limitOf = (value: string) =>
+                dialect.readReply(makeReply(200, [["server-limit", value]])).requestLimit;
             assert.deepEqual(["1.3", "0", "much", "-1", ""].map(limitOf), [1.3, 0, NaN, NaN, NaN]);
-            assert.equal(dialect.readReply(reply(200, [])).requestLimit, undefined);
+            assert.equal(dialect.readReply(makeReply(200, [])).requestLimit, undefined);
         });
 
-        it("takes an encoded body for no answer of the upstream", () => {
+        it("treats an encoded body as not signed by the upstream", () => {
             const stamp = ["sequoiamux-response-stamp", "x"] as const;
-            assert.equal(dialect.readReply(reply(200, [stamp])).isSigned, true);
-            assert.equal(dialect.readReply(reply(200, [stamp, ["content-encoding", "gzip"]])).isSigned, false);
+            assert.equal(dialect.readReply(makeReply(200, [stamp])).isSigned, true);
+            assert.equal(dialect.readReply(makeReply(200, [stamp, ["content-encoding", "gzip"]])).isSigned, false);
         });
     });
 
-    describe("an engine's list of what it keeps", () => {
+    describe("an engine's list of cached prompt parts", () => {
         const list = (body: unknown) => dialect.readCacheList(200, JSON.stringify(body));
 
-        it("is read as parts", () => {
+        it("is parsed into prompt parts", () => {
             const held = [["", "5c1e07a2", 800, "m"], ["", "91bd3f06", 410, "m"]];
             assert.deepEqual(list({ epoch: 3, next: 7, held }).extract(), [
                 { id: "5c1e07a2", tokens: 800 },
@@ -103,14 +104,14 @@
             ]);
         });
 
-        it("is an error where it is something else", () => {
+        it("is an error when it is malformed or the status isn't 200", () => {
             assert.ok(list({ held: [["", 7]] }).isLeft());
             assert.ok(dialect.readCacheList(200, "{").isLeft());
             assert.ok(dialect.readCacheList(429, "{}").isLeft());
         });
     });
 
-    it("tells when to come back, in seconds with fractions", () => {
+    it("writes Retry-After in seconds with fractions", () => {
         const { status, headers } = dialect.writeError(new CallError("refused", "full", 250));
         assert.equal(status, 503);
         assert.deepEqual(headers.at(-1), ["retry-after", "0.250"]);
--- a/src/platform/runControlNode/index.ts
+++ b/src/platform/runControlNode/index.ts
@@ -4,24 +4,29 @@
 import { Lifecycle } from "../../lifecycle/index.js";
 import { DEFAULT_HTTP_LIMITS, FileDisk } from "../../ports/index.js";
 import { DEFAULT_REGISTRY_TIMING } from "../../upstream/index.js";
-import { cloudCallsOf } from "../cloudCalls/index.js";
 import { serveControlPlane } from "../controlPlane/index.js";
 import { NodeSettings } from "../nodeSettings/index.js";
+import { makePlatformCalls } from "../platformCalls/index.js";
+import { PlatformDialect } from "../platformDialect/index.js";
 import {
     CONTROL_LOG_TIMING,
-    OWN_PEER_TIMING,
-    PLATFORM_FLIGHT_MS,
-    silenceOf,
+    INTERNAL_PEER_TIMING,
+    MAX_PLATFORM_CALL_MS,
+    upstreamTimeoutMs,
     VIEW_LEASE_SHARE,
 } from "../timing/index.js";
-import { WireDialect } from "../wireDialect/index.js";
 
-/** A running control process, and what its settings may change. */
+/** A running control process. */
 export interface ControlNode extends DaemonProcess {
+    /** Applies the settings that may change while the process runs: the seeds. */
     readonly reload: (settings: NodeSettings) => void;
 }
 
-/** Runs a control process by the platform's settings. */
+/**
+ * Starts a control process and its queue host with the platform's settings.
+ *
+ * @throws Error when `listen.controlPlane` or `dataDir` is missing.
+ */
 export async function runControlNode(ports: DaemonPorts, settings: NodeSettings): Promise<ControlNode> {
     const { control: address, dataFolder, ip, controlPeerPort, seeds, usageWindowMs, revokeMs } = settings;
     if (!address || !dataFolder) {
@@ -36,21 +41,21 @@
         peers: { host: ip, port: controlPeerPort },
         members: seeds.map(seed => ({ address: seed })),
         logTiming: CONTROL_LOG_TIMING,
-        timing: OWN_PEER_TIMING,
+        timing: INTERNAL_PEER_TIMING,
         viewLeaseMs: VIEW_LEASE_SHARE * revokeMs,
         windowMs: usageWindowMs,
         windowGraceMs: usageWindowMs,
         platform: undefined,
         routing: {
             seeds,
-            // So many that, however the tolerated losses fall right after an acknowledgement, one that has the entry is left.
+            // An acknowledged entry is on a majority: when any of the tolerated losses follow, one voter with the entry is left.
             voters: 2 * settings.toleratedLosses + 1,
             mayFound: settings.isFirstStart && settings.isSeed,
             startsWindowMs: usageWindowMs,
             startsPatienceMs: windowPatienceMs(settings.usageDueMs),
-            silentAfterMs: silenceOf(settings.heartbeatMs),
+            silentAfterMs: upstreamTimeoutMs(settings.heartbeatMs),
             zones: settings.zones.length > 0 ? settings.zones : undefined,
-            platform: describePlatform(ports, settings),
+            platform: makeRoutingPlatform(ports, settings),
         },
     });
     lifecycle.own(() => running.close());
@@ -64,9 +69,9 @@
         peers: { host: ip, port: controlPeerPort },
         sharedRouter: running.router,
         controlPeers: seeds,
-        dialect: new WireDialect(),
-        timing: OWN_PEER_TIMING,
-        registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: silenceOf(settings.heartbeatMs) },
+        dialect: new PlatformDialect(),
+        timing: INTERNAL_PEER_TIMING,
+        registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: upstreamTimeoutMs(settings.heartbeatMs) },
         windowMs: usageWindowMs,
     });
     lifecycle.own(() => queues.close());
@@ -81,8 +86,12 @@
     };
 }
 
-function describePlatform({ self }: DaemonPorts, settings: NodeSettings): RoutingPlatform | undefined {
+function makeRoutingPlatform({ self }: DaemonPorts, settings: NodeSettings): RoutingPlatform | undefined {
     const { platform, platformChecksFence } = settings;
     if (!platform) return undefined;
-    return { checksFence: platformChecksFence, flightMs: PLATFORM_FLIGHT_MS, ...cloudCallsOf(platform, self.host) };
+    return {
+        checksFence: platformChecksFence,
+        flightMs: MAX_PLATFORM_CALL_MS,
+        ...makePlatformCalls(platform, self.host),
+    };
 }
--- a/src/platform/runEntryNode/index.ts
+++ b/src/platform/runEntryNode/index.ts
@@ -4,21 +4,29 @@
 import { DEFAULT_HTTP_LIMITS } from "../../ports/index.js";
 import { DEFAULT_REGISTRY_TIMING } from "../../upstream/index.js";
 import { NodeSettings } from "../nodeSettings/index.js";
-import { serveReadiness } from "../readiness/index.js";
-import { OWN_PEER_TIMING, silenceOf } from "../timing/index.js";
-import { WireDialect } from "../wireDialect/index.js";
+import { PlatformDialect } from "../platformDialect/index.js";
+import { serveReadiness } from "../serveReadiness/index.js";
+import { INTERNAL_PEER_TIMING, upstreamTimeoutMs } from "../timing/index.js";
 
-/** The platform asks every second and believes two misses; then it sends no more callers, in milliseconds. */
-const BALANCER_MS = 3_000;
-/** Kept of the grace period for ending the process, in milliseconds. */
-const EXIT_MS = 700;
+/**
+ * Time until the platform's balancer sends no more callers to an entry that is not ready: it checks every second and acts on
+ * two failed checks.
+ */
+const BALANCER_DETECTION_MS = 3_000;
+/** Part of the grace period that is reserved for ending the process after the drain. */
+const EXIT_RESERVE_MS = 700;
 
-/** A running entry, and what its settings may change. */
+/** A running entry process. */
 export interface EntryNode extends DaemonProcess {
+    /** Applies the settings that may change while the process runs: the seeds. */
     readonly reload: (settings: NodeSettings) => void;
 }
 
-/** Runs an entry by the platform's settings. */
+/**
+ * Starts an entry process with the platform's settings.
+ *
+ * @throws Error when `listen.frontend` or `listen.ready` is missing.
+ */
 export async function runEntryNode(ports: DaemonPorts, settings: NodeSettings): Promise<EntryNode> {
     const { callers, readiness, ip, heartbeatMs, graceMs } = settings;
     if (!callers || !readiness) {
@@ -33,13 +41,13 @@
         controlPeers: settings.seeds,
         callerLimits: DEFAULT_HTTP_LIMITS,
         limits: DEFAULT_ENTRY_LIMITS,
-        timing: OWN_PEER_TIMING,
+        timing: INTERNAL_PEER_TIMING,
         windowMs: settings.usageWindowMs,
-        balancerMs: BALANCER_MS,
-        registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: silenceOf(heartbeatMs) },
+        balancerMs: BALANCER_DETECTION_MS,
+        registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: upstreamTimeoutMs(heartbeatMs) },
         routes: {
             callers,
-            dialect: new WireDialect(),
+            dialect: new PlatformDialect(),
             repeats: {
                 ratio: settings.repeatRatio,
                 windowMs: settings.repeatWindowMs,
@@ -54,7 +62,7 @@
     lifecycle.own(() => health.close());
     return {
         lifecycle,
-        drain: () => entry.drain(graceMs - BALANCER_MS - EXIT_MS),
+        drain: () => entry.drain(graceMs - BALANCER_DETECTION_MS - EXIT_RESERVE_MS),
         reload: changed => entry.setControlPeers(changed.seeds),
     };
 }
--- a/src/platform/readiness/index.ts
+++ b/src/platform/serveReadiness/index.ts
@@ -3,9 +3,9 @@
 const READY_PATH = "/readyz";
 
 /**
- * Gives the handler of the platform's question whether a machine may get callers.
+ * Returns the HTTP handler for the platform's readiness check, which decides whether the machine gets callers.
  *
- * @param isReady - Asked each time.
+ * @param isReady - Called on each check.
  */
 export function serveReadiness(isReady: () => boolean): HttpHandler {
     return async (req, res) => {
--- a/src/platform/timing/index.ts
+++ b/src/platform/timing/index.ts
@@ -1,12 +1,15 @@
 import { DEFAULT_LOG_TIMING, LogTiming } from "../../consensus/index.js";
 import { PeerTiming } from "../../wire/index.js";
 
-/** Between own processes: a silent peer is noticed within little more than a second, also where packets are lost now and then. */
-export const OWN_PEER_TIMING: PeerTiming = { heartbeatMs: 500, silenceMs: 1_300 };
+/**
+ * Timing of connections between the system's own processes. An unresponsive peer is detected within little more than a
+ * second, and occasional packet loss is tolerated.
+ */
+export const INTERNAL_PEER_TIMING: PeerTiming = { heartbeatMs: 500, silenceMs: 1_300 };
 
 /**
- * The control log's times: a lost holder is replaced within little more than a second, so that entries find the next one before their views
- * are too old.
+ * Timing of the control log. A lost holder is replaced within little more than a second, so that entries find its successor
+ * before their views expire.
  */
 export const CONTROL_LOG_TIMING: LogTiming = {
     ...DEFAULT_LOG_TIMING,
@@ -15,26 +18,28 @@
     electionSpreadMs: 450,
     appendTimeoutMs: 4_000,
     joinRetryMs: 250,
-    // Documents are large entries: 200 of them with a thousand routes take some 40 MB of the disk.
+    // Fleet documents are large entries: 200 of them with a thousand routes each take about 40 MB on disk.
     snapshotEntries: 200,
     trailingEntries: 50,
     segmentBytes: 1024 * 1024,
 };
 
-/** An entry's view is refused this share of the bound on withdrawn keys after it was asked for; the rest is for drift and flight. */
+/**
+ * Lifetime of an entry's view, counted from its request, as a share of the time within which a withdrawn key must be refused.
+ * The rest allows for clock drift and network latency.
+ */
 export const VIEW_LEASE_SHARE = 0.8;
-/** The longest that a call to the platform may be on its way, in milliseconds: it answers within a few when it is well. */
-export const PLATFORM_FLIGHT_MS = 1_000;
+/** Maximum time for which a call to the platform may be in flight; a healthy platform answers within a few milliseconds. */
+export const MAX_PLATFORM_CALL_MS = 1_000;
 
-/** An upstream that has missed so many heartbeats is taken to be gone: one may come late, and its next may be lost. */
-const MISSED_HEARTBEATS = 4;
+/** Number of missed heartbeats after which an upstream is treated as gone: one may be late and the next one lost. */
+const MISSED_HEARTBEATS_UNTIL_GONE = 4;
 
 /**
- * After how long without a word an upstream is taken to be gone.
+ * Returns the time without a heartbeat after which an upstream is treated as gone, in milliseconds.
  *
- * @param heartbeatMs - How often upstreams announce themselves, in milliseconds.
- * @returns Milliseconds.
+ * @param heartbeatMs - Interval between heartbeats, in milliseconds.
  */
-export function silenceOf(heartbeatMs: number): number {
-    return MISSED_HEARTBEATS * heartbeatMs;
+export function upstreamTimeoutMs(heartbeatMs: number): number {
+    return MISSED_HEARTBEATS_UNTIL_GONE * heartbeatMs;
 }
