--- a/src/daemon/daemonPorts/index.ts
+++ b/src/daemon/daemonPorts/index.ts
@@ -5,7 +5,7 @@
 import { Clock, Http, Network, Random } from "../../ports/index.js";
 import { PeerIdentity } from "../../wire/index.js";
 
-/** What a daemon takes from the machine, and who it is. */
+/** A daemon's access to the machine it runs on, and its identity. */
 export interface DaemonPorts {
     readonly clock: Clock;
     readonly random: Random;
@@ -14,19 +14,20 @@
     readonly logger: Logger;
     readonly metrics: Metrics;
     readonly self: PeerIdentity;
-    /** The histograms kept in this process. */
+    /** Histograms kept in this process, for the operator tool. */
     readonly histograms: HistogramSource;
-    /** Sends the last figures. */
-    readonly closeFigures: () => Promise<void>;
+    /** Sends the metrics not sent yet and closes the metrics client. */
+    readonly flushMetrics: () => Promise<void>;
     /** Begins a planned stop of this process. */
     readonly requestStop: () => void;
 }
 
-/** A daemon that runs. */
+/** A running daemon. */
 export interface DaemonProcess {
+    /** Closes all parts of the process. */
     readonly lifecycle: Lifecycle;
-    /** Prepares a planned stop; false when work was left at the end of the grace period. */
+    /** Drains the process before a planned stop. Returns false when work was left at the end of the grace period. */
     drain(): Promise<boolean>;
-    /** Settles when a part has failed without which the process is of no use. */
+    /** Resolves when a part that the process can't work without has failed. */
     readonly failed?: Promise<Error>;
 }
--- a/src/daemon/exitCodes/index.ts
+++ b/src/daemon/exitCodes/index.ts
@@ -1,13 +1,13 @@
-/** How the daemon ends, for whoever supervises it. */
+/** Exit codes of the daemon, for its supervisor. */
 export const EXIT_CODES = {
-    /** A planned stop in which no request was cut. */
+    /** Planned stop; no request was aborted. */
     ok: 0,
-    /** A fault; start it again. */
-    fault: 1,
-    /** The settings or the command line are wrong; starting it again is no use. */
+    /** Failure; the supervisor should restart the daemon. */
+    failure: 1,
+    /** Invalid settings or command line; a restart doesn't help. */
     usage: 2,
-    /** A planned stop that ran out of time with work under way. */
-    cut: 3,
-    /** The data folder is damaged or in use; an operator must look at it. */
-    data: 4,
+    /** Planned stop that reached the end of its grace period, or was forced by a second signal, with work in progress. */
+    incomplete: 3,
+    /** The data folder is damaged or in use; an operator must inspect it. */
+    dataFolder: 4,
 } as const;
--- a/src/daemon/index.ts
+++ b/src/daemon/index.ts
@@ -1,2 +1,2 @@
-/** What every program that runs a role of the system shares. */
+/** Types shared by the programs that run an entry or a control process. */
 export * from "./daemonPorts/index.js";
--- a/src/daemon/readSettings/index.ts
+++ b/src/daemon/readSettings/index.ts
@@ -7,7 +7,7 @@
  * Reads and checks a settings file.
  *
  * @param path - The INI file.
- * @returns The settings, or one line for each thing that is wrong.
+ * @returns The settings, or one line per problem.
  * @example
  * const settings = await readSettings("/etc/sequoiamux/entry.ini");
  */
--- a/src/daemon/runControl/index.ts
+++ b/src/daemon/runControl/index.ts
@@ -21,10 +21,10 @@
 import { serveHealth } from "../serveHealth/index.js";
 
 /**
- * Runs a control process.
+ * Starts a control process and, if it takes part in routed calls, its queue host.
  *
- * @param ports - What it takes from the machine.
- * @param settings - Checked settings.
+ * @param ports - Access to the machine.
+ * @param settings - Validated settings.
  */
 export async function runControl(ports: DaemonPorts, settings: ControlSettings): Promise<DaemonProcess> {
     const { listen, control, data, timing, usage } = settings;
@@ -57,7 +57,7 @@
     }
     const queues = running.routing && await startQueues(ports, settings, running);
     if (queues) lifecycle.own(() => queues.close());
-    const operate = createTrpcHandler(operatorRouter, () => ({
+    const handleOperatorCall = createTrpcHandler(operatorRouter, () => ({
         log: running.log,
         state: running.state,
         service: running.service,
@@ -66,7 +66,7 @@
         quarantine: running.routing?.quarantine,
         operatorAddresses: [],
     }));
-    const handler = serveHealth(() => running.isReady, operate);
+    const handler = serveHealth(() => running.isReady, handleOperatorCall);
     const health = await ports.http.serve(listen.operators, DEFAULT_HTTP_LIMITS, handler);
     lifecycle.own(() => health.close());
     return { lifecycle, drain: async () => await queues?.drain(0) ?? true, failed: running.awaitFailure() };
@@ -118,12 +118,16 @@
     return {
         address: platform.address,
         checksFence: platform.checksFence === "yes",
-        purchasePolicy: makePolicy(ports, platform.address, platform.purchases),
+        purchasePolicy: makePurchasePolicy(ports, platform.address, platform.purchases),
         purchasePeriodMs: platform.purchaseMs,
     };
 }
 
-function makePolicy({ http, logger }: DaemonPorts, platform: Address, purchases: "off" | "cover"): PurchasePolicy {
+function makePurchasePolicy(
+    { http, logger }: DaemonPorts,
+    platform: Address,
+    purchases: "off" | "cover",
+): PurchasePolicy {
     if (purchases === "off") return new NoPurchases();
     const offers = new OfferReader(http, platform);
     return new CoverPolicy({ offers, decision: new CoverPurchase(), forecast: DEFAULT_FORECAST, logger });
--- a/src/daemon/runEntry/index.ts
+++ b/src/daemon/runEntry/index.ts
@@ -8,25 +8,25 @@
 import { serveHealth } from "../serveHealth/index.js";
 
 /**
- * Runs an entry process.
+ * Starts an entry process.
  *
- * @param ports - What it takes from the machine.
- * @param settings - Checked settings.
+ * @param ports - Access to the machine.
+ * @param settings - Validated settings.
  */
 export async function runEntry(ports: DaemonPorts, settings: EntrySettings): Promise<DaemonProcess> {
     const { host, listen, control, limits, timing, streams, stop, usage } = settings;
     const lifecycle = new Lifecycle();
-    // Health is served while the entry still waits for its first view.
-    const running: { entry?: EntryProcess; } = {};
-    const isReady = (): boolean => !running.entry?.isDraining && (running.entry?.control.isFresh() ?? false);
-    const operate: HttpHandler = async (req, res) => {
-        if (running.entry) {
-            return new EntryAdminServer(makeAdmin(ports, running.entry, stop.graceMs)).handler(req, res);
+    // Set once the entry has started: the health server already answers while the entry waits for its first view.
+    const started: { entry?: EntryProcess; } = {};
+    const isReady = (): boolean => !started.entry?.isDraining && (started.entry?.control.isFresh() ?? false);
+    const handleAdminCall: HttpHandler = async (req, res) => {
+        if (started.entry) {
+            return new EntryAdminServer(makeAdmin(ports, started.entry, stop.graceMs)).handler(req, res);
         }
         res.head(503, []);
         res.end();
     };
-    const health = await ports.http.serve(listen.admin, DEFAULT_HTTP_LIMITS, serveHealth(isReady, operate));
+    const health = await ports.http.serve(listen.admin, DEFAULT_HTTP_LIMITS, serveHealth(isReady, handleAdminCall));
     lifecycle.own(() => health.close());
     const entry = await EntryProcess.start({
         ...ports,
@@ -56,7 +56,7 @@
         },
     }, lifecycle.signal);
     lifecycle.own(() => entry.close());
-    running.entry = entry;
+    started.entry = entry;
     return { lifecycle, drain: () => entry.drain(stop.graceMs) };
 }
 
--- a/src/daemon/serveHealth/index.ts
+++ b/src/daemon/serveHealth/index.ts
@@ -2,22 +2,22 @@
 import { CALLER_PATHS } from "../../protocol/index.js";
 
 /**
- * Gives the handler of health and readiness, beside another on the same port.
+ * Returns an HTTP handler for the health and readiness checks that passes other requests to another handler.
  *
- * @param isReady - Says whether this process does its part at present.
- * @param other - Gets all other paths; 404 without one.
+ * @param isReady - Returns whether the process currently performs its role.
+ * @param fallback - Handles all other paths; without it, they are answered with 404.
  */
-export function serveHealth(isReady: () => boolean, other?: HttpHandler): HttpHandler {
+export function serveHealth(isReady: () => boolean, fallback?: HttpHandler): HttpHandler {
     return async (req, res) => {
-        const isHealth = req.path === CALLER_PATHS.health || req.path === CALLER_PATHS.ready;
-        if (!isHealth && other) return other(req, res);
-        const [status, state] = judge(req.path, isReady);
+        const isHealthPath = req.path === CALLER_PATHS.health || req.path === CALLER_PATHS.ready;
+        if (!isHealthPath && fallback) return fallback(req, res);
+        const [status, state] = getStatus(req.path, isReady);
         res.head(status, [["content-type", "application/json"]]);
         res.end(JSON.stringify({ state }));
     };
 }
 
-function judge(path: string, isReady: () => boolean): [status: number, state: string] {
+function getStatus(path: string, isReady: () => boolean): [status: number, state: string] {
     if (path === CALLER_PATHS.health) return [200, "alive"];
     if (path !== CALLER_PATHS.ready) return [404, "not-found"];
     return isReady() ? [200, "ready"] : [503, "not-ready"];
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -67,7 +67,7 @@
         metrics,
         network: new TcpNetwork(),
         http: new NodeHttp(),
-        closeFigures: async () => undefined,
+        flushMetrics: async () => undefined,
         histograms: { list: () => [] },
         requestStop: () => void process.kill(process.pid, "SIGTERM"),
         self: { host: settings.host, incarnation: random.id() as Incarnation },
