--- a/src/settings/_lib/readIni.ts
+++ b/src/settings/_lib/readIni.ts
@@ -1,6 +1,6 @@
 import { parse } from "ini";
 
-/** One line of a file. A name that stands twice in its section has two values. */
+/** One setting of a file. A name that occurs twice in its section has two values. */
 export interface IniEntry {
     /** Empty before the first section's heading. */
     readonly section: string;
@@ -8,21 +8,21 @@
     readonly values: readonly string[];
 }
 
-/** A file's content. */
+/** Content of an INI file. */
 export interface IniFile {
     readonly sections: readonly string[];
     readonly entries: readonly IniEntry[];
 }
 
 /**
- * Reads INI text.
+ * Parses INI text.
  *
  * @example
  * readIni("role = entry\n[host]\nid = a").sections; // ["host"]
  */
 export function readIni(text: string): IniFile {
-    // Without bracketed arrays the library keeps every value of a name that stands twice, instead of the last alone: a
-    // doubled setting is then seen as the mistake it is.
+    // Without bracketed arrays the library keeps all values of a name that occurs twice instead of only the last, so that
+    // duplicate settings can be reported as errors.
     const parsed = parse(text, { bracketedArray: false }) as Record<string, unknown>;
     const sections: string[] = [];
     const entries: IniEntry[] = [];
--- a/src/settings/_lib/setting.ts
+++ b/src/settings/_lib/setting.ts
@@ -2,53 +2,54 @@
 import { HostId } from "../../ids/index.js";
 import { Address, formatAddress, parseAddress } from "../../ports/index.js";
 
-/** What the page and the error lines say of a setting. */
+/** Documentation of a setting, for the settings page and for error messages. */
 export interface SettingInfo {
-    /** What it does, with its unit. */
+    /** Description with the unit. */
     readonly doc: string;
-    /** What a value must be, as the end of "expected …". */
+    /** Description of valid values, to follow the word "expected". */
     readonly expected: string;
-    /** The value used when the file has none, as text; undefined when there is none. */
+    /** Default value as text; undefined when there is none. */
     readonly defaultText?: string;
     readonly isRequired: boolean;
 }
 
-/** A kind of value: how its text is read, and how that is put in words. */
+/** A type of value with its parser. */
 export interface SettingKind<Value> {
+    /** Description of valid values, to follow the word "expected". */
     readonly expected: string;
-    /** Gives undefined for a text that is not of the kind. */
+    /** Parses a value; returns undefined for an invalid one. */
     readonly read: (text: string) => Value | undefined;
 }
 
-/** A control process: its host and where it listens for peers. */
+/** A control process: its host and the address on which it listens for peers. */
 export interface ControlMember {
     readonly host: HostId;
     readonly address: Address;
 }
 
-/** The info of each setting, by its schema. */
+/** Documentation of each setting, by its schema. */
 export const settingRegistry = z.registry<SettingInfo>();
 
-/** The most control processes: more hosts than that may not be set aside for control. */
-const MOST_MEMBERS = 9;
+/** Maximum number of control processes; no more hosts than this may be reserved for control. */
+const MAX_CONTROL_MEMBERS = 9;
 const NAME_PATTERN = /^[a-zA-Z0-9][\w.-]{0,62}$/;
-const IP_PATTERN = /^[0-9.]+$|:/;
+const IP_ADDRESS_PATTERN = /^[0-9.]+$|:/;
 
-/** A setting that the file must have. */
+/** Creates the schema of a setting that the file must contain. */
 export function required<Value>(kind: SettingKind<Value>, doc: string) {
     const schema = makeSchema(kind);
     settingRegistry.add(schema, { doc, expected: kind.expected, isRequired: true });
     return schema;
 }
 
-/** A setting that is left out by default. */
+/** Creates the schema of an optional setting without a default. */
 export function optional<Value>(kind: SettingKind<Value>, doc: string) {
     const schema = makeSchema(kind).optional();
     settingRegistry.add(schema, { doc, expected: kind.expected, isRequired: false });
     return schema;
 }
 
-/** A setting with a default. */
+/** Creates the schema of a setting with a default, given as text. */
 export function withDefault<Value>(kind: SettingKind<Value>, defaultText: string, doc: string) {
     const schema = makeSchema(kind).prefault(defaultText);
     settingRegistry.add(schema, { doc, expected: kind.expected, defaultText, isRequired: false });
@@ -64,42 +65,42 @@
     return { expected: `a whole number from ${low} to ${high}`, read };
 }
 
-/** One word out of a list. */
-export function oneOf<const Word extends string>(...words: readonly Word[]): SettingKind<Word> {
-    return { expected: words.join(" or "), read: text => words.find(word => word === text) };
+/** One value of a list. */
+export function oneOf<const Choice extends string>(...choices: readonly Choice[]): SettingKind<Choice> {
+    return { expected: choices.join(" or "), read: text => choices.find(choice => choice === text) };
 }
 
 /** The name of a host, a zone or a region. */
-export function name<Id extends string>(): SettingKind<Id> {
+export function identifier<Id extends string>(): SettingKind<Id> {
     const read = (text: string): Id | undefined => NAME_PATTERN.test(text) ? text as Id : undefined;
     return { expected: "a name of letters, digits, dots, hyphens and underscores", read };
 }
 
-/** An IP number and a port; DNS names are refused, since hosts know each other by IP number alone. */
+/** An IP address and a port. DNS names are refused, since hosts know each other only by IP address. */
 export const ipAddress: SettingKind<Address> = {
     expected: "IP:port",
     read: text => {
         const address = parseAddress(text);
-        return address && IP_PATTERN.test(address.host) ? address : undefined;
+        return address && IP_ADDRESS_PATTERN.test(address.host) ? address : undefined;
     },
 };
 
-/** A folder's path. */
+/** The path of a folder; not empty. */
 export const folderPath: SettingKind<string> = {
     expected: "a folder's path",
     read: text => text.length > 0 ? text : undefined,
 };
 
-/** The control processes, separated by commas. */
+/** Control processes as `host@IP:port`, separated by commas; each host and each address may occur once. */
 export const memberList: SettingKind<readonly ControlMember[]> = {
-    expected: `1 to ${MOST_MEMBERS} different host@IP:port, separated by commas`,
+    expected: `1 to ${MAX_CONTROL_MEMBERS} different host@IP:port, separated by commas`,
     read: text => {
         const members = text.split(",").map(readMember);
-        const known = members.filter(member => member !== undefined);
-        if (known.length < members.length || known.length > MOST_MEMBERS) return undefined;
-        const hosts = new Set(known.map(member => member.host));
-        const addresses = new Set(known.map(member => formatAddress(member.address)));
-        return hosts.size === known.length && addresses.size === known.length ? known : undefined;
+        const valid = members.filter(member => member !== undefined);
+        if (valid.length < members.length || valid.length > MAX_CONTROL_MEMBERS) return undefined;
+        const uniqueHosts = new Set(valid.map(member => member.host));
+        const uniqueAddresses = new Set(valid.map(member => formatAddress(member.address)));
+        return uniqueHosts.size === valid.length && uniqueAddresses.size === valid.length ? valid : undefined;
     },
 };
 
--- a/src/settings/_lib/rows.ts
+++ b/src/settings/_lib/settingRows.ts
@@ -5,9 +5,9 @@
 /** One setting of one role. */
 export interface SettingRow {
     readonly section: string;
-    /** Its name in the file, such as `heartbeat_ms`. */
+    /** Name in the file, such as `heartbeat_ms`. */
     readonly name: string;
-    /** Its name in the code, such as `heartbeatMs`. */
+    /** Name in the code, such as `heartbeatMs`. */
     readonly key: string;
     readonly info: SettingInfo;
 }
@@ -15,12 +15,12 @@
 const SCHEMAS = { entry: entrySchema, control: controlSchema } as const;
 
 /**
- * The settings of a role, in the order of the schema.
+ * Lists the settings of a role in the order of the schema.
  *
  * @example
  * listRows("entry").length;
  */
-export function listRows(role: Settings["role"]): SettingRow[] {
+export function listSettingRows(role: Settings["role"]): SettingRow[] {
     return Object.entries(SCHEMAS[role].shape).flatMap(([section, inner]) => {
         if (!(inner instanceof z.ZodObject)) return [];
         return Object.entries(inner.shape as Record<string, z.ZodType>).map(([key, schema]) => {
@@ -30,7 +30,7 @@
 }
 
 /**
- * Turns a name of the code into one of the file.
+ * Converts a setting's name in the code to its name in the file.
  *
  * @example
  * toIniName("heartbeatMs"); // "heartbeat_ms"
--- a/src/settings/formatPage/index.ts
+++ b/src/settings/formatPage/index.ts
@@ -1,8 +1,8 @@
-import { listRows, SettingRow } from "../_lib/rows.js";
 import { SettingInfo } from "../_lib/setting.js";
+import { listSettingRows, SettingRow } from "../_lib/settingRows.js";
 import { Settings } from "../schema/index.js";
 
-const HEAD = `# Settings
+const PAGE_HEAD = `# Settings
 
 A daemon reads one INI file: \`sequoiamuxd --settings FILE\`. \`sequoiamuxd --check --settings FILE\` judges a file without
 starting. The first line that counts is \`role = entry\` or \`role = control\`, before any section. An unknown section or
@@ -13,13 +13,13 @@
 This page is made from the table in \`src/settings/schema\` by \`npm run settings-page\`; a test compares the two.
 `;
 
-/** Writes the page `docs/SETTINGS.md`. */
+/** Generates the Markdown of `docs/SETTINGS.md`. */
 export function formatPage(): string {
-    return [HEAD, formatRole("entry"), formatRole("control")].join("\n");
+    return [PAGE_HEAD, formatRole("entry"), formatRole("control")].join("\n");
 }
 
 function formatRole(role: Settings["role"]): string {
-    const rows = listRows(role);
+    const rows = listSettingRows(role);
     const sections = [...new Set(rows.map(row => row.section))];
     const tables = sections.map(section => formatSection(section, rows.filter(row => row.section === section)));
     return [`## role = ${role}\n`, ...tables].join("\n");
--- a/src/settings/formatPage/test.ts
+++ b/src/settings/formatPage/test.ts
@@ -4,7 +4,7 @@
 import { formatPage } from "./index.js";
 
 describe("formatPage", () => {
-    it("gives what stands in docs/SETTINGS.md", async () => {
+    it("matches docs/SETTINGS.md", async () => {
         const page = await new FileDisk("docs").read("SETTINGS.md");
         assert.equal(Buffer.from(page ?? []).toString(), formatPage(), "run npm run settings-page");
     });
--- a/src/settings/index.ts
+++ b/src/settings/index.ts
@@ -1,4 +1,7 @@
-/** The INI file of a daemon: one table of settings, from which the parser and the page `docs/SETTINGS.md` are made. */
+/**
+ * The INI file of a daemon. One schema per role defines the settings; the parser and the page `docs/SETTINGS.md` are both
+ * derived from it.
+ */
 export * from "./formatPage/index.js";
 export * from "./parseSettings/index.js";
 export * from "./schema/index.js";
--- a/src/settings/parseSettings/index.ts
+++ b/src/settings/parseSettings/index.ts
@@ -1,18 +1,18 @@
 import { Either, Left, Right } from "purify-ts";
 import { formatAddress } from "../../ports/index.js";
 import { IniEntry, IniFile, readIni } from "../_lib/readIni.js";
-import { listRows, SettingRow, toIniName } from "../_lib/rows.js";
+import { listSettingRows, SettingRow, toIniName } from "../_lib/settingRows.js";
 import { controlSchema, entrySchema, Settings } from "../schema/index.js";
 
-/** One thing that is wrong with a settings file; `message` is one line for a person. */
+/** One problem in a settings file; `message` is a single line for the operator. */
 export class SettingsError extends Error {
     constructor(
         readonly file: string,
-        /** Empty before the first section's heading. */
+        /** Section of the setting; empty before the first section's heading. */
         readonly section: string,
-        /** Empty when the whole section is meant. */
+        /** Name of the setting; empty when the problem concerns the whole section. */
         readonly setting: string,
-        /** What is wrong, and what was expected. */
+        /** Description of the problem and of the expected value. */
         readonly problem: string,
     ) {
         super([`${file}:`, section && `[${section}]`, setting && `${setting}:`, problem].filter(Boolean).join(" "));
@@ -24,11 +24,11 @@
 const SCHEMAS = { entry: entrySchema, control: controlSchema } as const;
 
 /**
- * Reads a daemon's settings file.
+ * Parses and validates a daemon's settings file.
  *
- * @param text - The file's content, as INI.
- * @param fileName - For the error lines.
- * @returns The settings, or everything that is wrong with them.
+ * @param text - Content of the INI file.
+ * @param fileName - Name of the file for error messages.
+ * @returns The settings, or all problems found.
  * @example
  * parseSettings(text, "entry.ini").caseOf({ Left: printLines, Right: start });
  */
@@ -36,12 +36,12 @@
     const file = readIni(text);
     const role = findRole(file);
     if (!role) return Left([new SettingsError(fileName, "", "role", "expected entry or control")]);
-    const rows = listRows(role);
-    const strange = findStrangeEntries(file, rows, fileName, role);
-    const parsed = SCHEMAS[role].safeParse(shapeForSchema(file, rows, role));
-    const bad = (parsed.error?.issues ?? []).map(issue => describeIssue(issue.path, file, rows, fileName));
-    if (!parsed.success) return Left([...strange, ...bad]);
-    const problems = [...strange, ...findClashes(parsed.data, fileName)];
+    const rows = listSettingRows(role);
+    const unknownEntries = findUnknownEntries(file, rows, fileName, role);
+    const parsed = SCHEMAS[role].safeParse(toSchemaInput(file, rows, role));
+    const invalidValues = (parsed.error?.issues ?? []).map(issue => describeIssue(issue.path, file, rows, fileName));
+    if (!parsed.success) return Left([...unknownEntries, ...invalidValues]);
+    const problems = [...unknownEntries, ...findConflicts(parsed.data, fileName)];
     return problems.length > 0 ? Left(problems) : Right(parsed.data);
 }
 
@@ -51,38 +51,42 @@
     return values[0] === "entry" || values[0] === "control" ? values[0] : undefined;
 }
 
-/** Sections and names that the role does not have, and names that stand twice. */
-function findStrangeEntries(file: IniFile, rows: readonly SettingRow[], fileName: string, role: Role): SettingsError[] {
-    const known = [...new Set(rows.map(row => row.section))];
+/** Finds sections and names that the role does not have, and names that occur twice. */
+function findUnknownEntries(file: IniFile, rows: readonly SettingRow[], fileName: string, role: Role): SettingsError[] {
+    const knownSections = [...new Set(rows.map(row => row.section))];
     const sections = file.sections
-        .filter(section => !known.includes(section))
+        .filter(section => !knownSections.includes(section))
         .map(section => {
-            const problem = `unknown section for the role ${role}, expected one of ${known.join(", ")}`;
+            const problem = `unknown section for the role ${role}, expected one of ${knownSections.join(", ")}`;
             return new SettingsError(fileName, section, "", problem);
         });
     const names = file.entries.flatMap(entry => {
-        const problem = describeStrangeName(entry, rows, known);
+        const problem = describeUnknownName(entry, rows, knownSections);
         return problem ? [new SettingsError(fileName, entry.section, entry.name, problem)] : [];
     });
     return [...sections, ...names];
 }
 
-function describeStrangeName(entry: IniEntry, rows: readonly SettingRow[], known: string[]): string | undefined {
+function describeUnknownName(
+    entry: IniEntry,
+    rows: readonly SettingRow[],
+    knownSections: string[],
+): string | undefined {
     if (entry.values.length > 1) return "stands twice, expected once";
     if (entry.section === "") return entry.name === "role" ? undefined : "unknown name, expected a section before it";
-    if (!known.includes(entry.section)) return undefined;
+    if (!knownSections.includes(entry.section)) return undefined;
     const names = rows.filter(row => row.section === entry.section).map(row => row.name);
     return names.includes(entry.name) ? undefined : `unknown name, expected one of ${names.join(", ")}`;
 }
 
-function shapeForSchema({ entries }: IniFile, rows: readonly SettingRow[], role: Role): unknown {
-    const shaped: Record<string, unknown> = { role };
+function toSchemaInput({ entries }: IniFile, rows: readonly SettingRow[], role: Role): unknown {
+    const input: Record<string, unknown> = { role };
     for (const { section, name, key } of rows) {
         const found = entries.find(entry => entry.section === section && entry.name === name);
-        const values = (shaped[section] ?? {}) as Record<string, string | undefined>;
-        shaped[section] = { ...values, [key]: found?.values[0] };
+        const values = (input[section] ?? {}) as Record<string, string | undefined>;
+        input[section] = { ...values, [key]: found?.values[0] };
     }
-    return shaped;
+    return input;
 }
 
 function describeIssue(
@@ -99,34 +103,34 @@
     return new SettingsError(fileName, section, name, problem);
 }
 
-/** Values that are good on their own and wrong beside each other. */
-function findClashes(settings: Settings, fileName: string): SettingsError[] {
-    const clashes = findListenClashes(settings, fileName);
+/** Finds values that are valid on their own but conflict with each other. */
+function findConflicts(settings: Settings, fileName: string): SettingsError[] {
+    const conflicts = findListenConflicts(settings, fileName);
     const { heartbeatMs, silenceMs } = settings.timing;
     if (silenceMs < 2 * heartbeatMs) {
         const problem = `expected at least twice heartbeat_ms (${2 * heartbeatMs}), found "${silenceMs}"`;
-        clashes.push(new SettingsError(fileName, "timing", "silence_ms", problem));
+        conflicts.push(new SettingsError(fileName, "timing", "silence_ms", problem));
     }
-    if (settings.role === "entry") return clashes;
+    if (settings.role === "entry") return conflicts;
     if (!settings.control.members.some(member => member.host === settings.host.id)) {
         const problem = `expected this host, ${settings.host.id}, among them`;
-        clashes.push(new SettingsError(fileName, "control", "members", problem));
+        conflicts.push(new SettingsError(fileName, "control", "members", problem));
     }
-    return clashes;
+    return conflicts;
 }
 
-function findListenClashes(settings: Settings, fileName: string): SettingsError[] {
-    const seen = new Map<string, string>();
-    const clashes: SettingsError[] = [];
+function findListenConflicts(settings: Settings, fileName: string): SettingsError[] {
+    const settingByAddress = new Map<string, string>();
+    const conflicts: SettingsError[] = [];
     for (const [key, address] of Object.entries(settings.listen)) {
         if (address === undefined) continue;
         const text = formatAddress(address);
-        const first = seen.get(text);
-        if (first && address.port !== 0) {
-            const problem = `expected another address than that of ${first}, found "${text}"`;
-            clashes.push(new SettingsError(fileName, "listen", toIniName(key), problem));
+        const other = settingByAddress.get(text);
+        if (other && address.port !== 0) {
+            const problem = `expected another address than that of ${other}, found "${text}"`;
+            conflicts.push(new SettingsError(fileName, "listen", toIniName(key), problem));
         }
-        seen.set(text, key);
+        settingByAddress.set(text, key);
     }
-    return clashes;
+    return conflicts;
 }
--- a/src/settings/parseSettings/test.ts
+++ b/src/settings/parseSettings/test.ts
@@ -39,14 +39,14 @@
     return parseSettings(text, "x.ini").caseOf({ Left: errs => errs.map(err => err.message), Right: () => [] });
 }
 
-function parseWell(text: string) {
+function parseValid(text: string) {
     return parseSettings(text, "x.ini").mapLeft(errs => errs.join("\n")).unsafeCoerce();
 }
 
 describe("parseSettings", () => {
     describe("a good file", () => {
-        it("gives an entry's settings with defaults", () => {
-            const settings = parseWell(ENTRY);
+        it("is parsed into an entry's settings with defaults", () => {
+            const settings = parseValid(ENTRY);
             assert.equal(settings.role, "entry");
             assert.deepEqual(settings.listen.peers, { host: "10.20.4.11", port: 7000 });
             assert.equal(settings.control.members.length, 2);
@@ -54,8 +54,8 @@
             assert.equal(settings.metrics.statsd, undefined);
         });
 
-        it("gives a control process's settings", () => {
-            const settings = parseWell(CONTROL);
+        it("is parsed into a control process's settings", () => {
+            const settings = parseValid(CONTROL);
             assert.ok(settings.role === "control");
             assert.equal(settings.data.folder, "/var/lib/sequoiamux");
             assert.equal(settings.timing.electionMs, 1_000);
@@ -123,14 +123,14 @@
             ],
         ];
         for (const [name, text, problem] of mistakes) {
-            it(`is one line: ${name}`, () => {
+            it(`is reported in one line: ${name}`, () => {
                 const problems = listProblems(text);
                 assert.equal(problems.length, 1, problems.join("\n"));
                 assert.match(problems[0], problem);
             });
         }
 
-        it("does not hide another", () => {
+        it("does not hide other mistakes", () => {
             const problems = listProblems(`${ENTRY}[limits]\nrequests = many\nbody = 1\n[log]\nlevel = loud`);
             assert.equal(problems.length, 3);
         });
--- a/src/settings/schema/index.ts
+++ b/src/settings/schema/index.ts
@@ -2,9 +2,9 @@
 import { HostId, ZoneId } from "../../ids/index.js";
 import {
     folderPath,
+    identifier,
     ipAddress,
     memberList,
-    name,
     oneOf,
     optional,
     required,
@@ -13,14 +13,17 @@
 } from "../_lib/setting.js";
 
 const HOUR_MS = 3_600_000;
-const MOST_BYTES = 64 * 1024 * 1024;
+const MAX_BYTES = 64 * 1024 * 1024;
 
-const span = wholeNumber(1, 24 * HOUR_MS);
+const durationMs = wholeNumber(1, 24 * HOUR_MS);
 
 const host = z.object({
-    id: required(name<HostId>(), "The host's name, kept over restarts; the host's entry and control process share it."),
-    zone: required(name<ZoneId>(), "The availability zone that the host stands in."),
-    region: required(name<string>(), "The region that the zone belongs to."),
+    id: required(
+        identifier<HostId>(),
+        "The host's name, kept over restarts; the host's entry and control process share it.",
+    ),
+    zone: required(identifier<ZoneId>(), "The availability zone that the host stands in."),
+    region: required(identifier<string>(), "The region that the zone belongs to."),
 });
 
 const control = z.object({
@@ -43,7 +46,7 @@
         ipAddress,
         "Where figures go as StatsD packets. Without it, histograms are kept in the process only.",
     ),
-    prefix: withDefault(name<string>(), "sequoiamux.", "Put before the name of each figure."),
+    prefix: withDefault(identifier<string>(), "sequoiamux.", "Put before the name of each figure."),
     series: withDefault(
         wholeNumber(1, 100_000),
         "1000",
@@ -61,18 +64,18 @@
 
 const peerTiming = {
     heartbeatMs: withDefault(
-        span,
+        durationMs,
         "500",
         "A ping goes to a peer when nothing else has for this long, in milliseconds.",
     ),
     silenceMs: withDefault(
-        span,
+        durationMs,
         "2000",
         "A connection between own processes is reset when nothing came for this long, in milliseconds. At least twice the heartbeat.",
     ),
 };
 
-/** The settings of an entry process. */
+/** Schema of the settings of an entry process; error messages and the settings page are derived from it. */
 export const entrySchema = z.object({
     role: z.literal("entry"),
     host,
@@ -88,15 +91,19 @@
     }),
     control,
     limits: z.object({
-        bodyBytes: withDefault(wholeNumber(1_024, MOST_BYTES), "4194304", "The largest request body, in bytes."),
+        bodyBytes: withDefault(wholeNumber(1_024, MAX_BYTES), "4194304", "The largest request body, in bytes."),
         headerBytes: withDefault(
             wholeNumber(1_024, 1_048_576),
             "16384",
             "The largest sum of a request's header lines, in bytes.",
         ),
-        headerTimeoutMs: withDefault(span, "10000", "How long a caller may take to send its headers, in milliseconds."),
+        headerTimeoutMs: withDefault(
+            durationMs,
+            "10000",
+            "How long a caller may take to send its headers, in milliseconds.",
+        ),
         requestTimeoutMs: withDefault(
-            span,
+            durationMs,
             "30000",
             "How long a caller may take to send a whole request, in milliseconds.",
         ),
@@ -109,19 +116,19 @@
     timing: z.object(peerTiming),
     streams: z.object({
         firstByteMs: withDefault(
-            span,
+            durationMs,
             "15000",
             "An upstream that sent nothing this long after a request left is given up for it, in milliseconds.",
         ),
         tokenStallMs: withDefault(
-            span,
+            durationMs,
             "5000",
             "A stream without a token for this long is continued elsewhere, in milliseconds.",
         ),
     }),
     stop: z.object({
         graceMs: withDefault(
-            span,
+            durationMs,
             "600000",
             "The longest a planned stop waits for work under way, in milliseconds; beyond it the process ends with exit code 3.",
         ),
@@ -136,7 +143,7 @@
     log,
 });
 
-/** The settings of a control process. */
+/** Schema of the settings of a control process; error messages and the settings page are derived from it. */
 export const controlSchema = z.object({
     role: z.literal("control"),
     host,
@@ -155,7 +162,7 @@
             "The data folder, on a disk that keeps what was synced. One process has it at a time.",
         ),
         segmentBytes: withDefault(
-            wholeNumber(65_536, MOST_BYTES),
+            wholeNumber(65_536, MAX_BYTES),
             "8388608",
             "The size at which the log goes on in a new file, in bytes.",
         ),
@@ -180,7 +187,7 @@
             "off",
             "Whether upstreams are started and stopped by order: `off`, nothing is ordered; `cover`, the cheapest mix for the demand forecast such that the loss of one zone's reclaimable upstreams leaves the top tiers covered.",
         ),
-        purchaseMs: withDefault(span, "10000", "How often purchases of upstreams are planned, in milliseconds."),
+        purchaseMs: withDefault(durationMs, "10000", "How often purchases of upstreams are planned, in milliseconds."),
     }),
     timing: z.object({
         ...peerTiming,
@@ -190,7 +197,7 @@
             "How long a voter's promise to a leader lasts, in milliseconds: a leader that no majority answered for this long stops acting, and a voter that heard nothing for this long, and by chance up to as long again, asks for an election.",
         ),
         freshnessLeaseMs: withDefault(
-            span,
+            durationMs,
             "3000",
             "How long an entry may go on with its view after it asked the holder for changes, in milliseconds. A withdrawn key stops within this time, whatever is cut off.",
         ),
@@ -206,11 +213,11 @@
     log,
 });
 
-/** What an entry process is started with. */
+/** Settings of an entry process. */
 export type EntrySettings = z.output<typeof entrySchema>;
 
-/** What a control process is started with. */
+/** Settings of a control process. */
 export type ControlSettings = z.output<typeof controlSchema>;
 
-/** What a daemon is started with; `role` says which of the two. */
+/** Settings of a daemon, discriminated by `role`. */
 export type Settings = EntrySettings | ControlSettings;
--- a/src/settings/writePage/main.ts
+++ b/src/settings/writePage/main.ts
@@ -1,4 +1,4 @@
-/** Writes `docs/SETTINGS.md` from the table of settings; run it in the repository's folder. */
+/** Generates `docs/SETTINGS.md` from the settings schemas. Run it in the root folder of the repository. */
 import { FileDisk } from "../../ports/index.js";
 import { formatPage } from "../index.js";
 
