--- a/src/cli/_lib/describeAnswer.ts
+++ b/src/cli/_lib/describeChangeAnswer.ts
@@ -2,11 +2,12 @@
 import { CliError } from "../cliError/index.js";
 
 /**
- * Says what became of a change.
+ * Describes the outcome of a change.
  *
- * @throws CliError when it was not done.
+ * @param what - The changed item, such as `key 3f9c01ab77de`.
+ * @throws CliError when the change was refused or lost a conflict.
  */
-export function describeAnswer(what: string, { result, effect }: ChangeAnswer): string {
+export function describeChangeAnswer(what: string, { result, effect }: ChangeAnswer): string {
     if (result.kind === "done") return `${what}: ${effect} at revision ${result.revision}`;
     if (result.kind === "refused") throw new CliError(`${what}: refused, ${result.message}`);
     const { revision, winner, winningChange } = result;
--- a/src/cli/billingCommands/index.ts
+++ b/src/cli/billingCommands/index.ts
@@ -1,9 +1,9 @@
 import { UsageLine } from "../../protocol/index.js";
-import { readNumber } from "../_lib/readOptions.js";
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { readRequiredWholeNumber } from "../_lib/readOptions.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 import { formatTime } from "../output/index.js";
 
-/** Commands on orders and usage windows. */
+/** Commands that show orders and usage windows. */
 export const billingCommands: readonly CommandDefinition[] = [
     {
         usage: "orders",
@@ -28,9 +28,9 @@
     },
 ];
 
-async function listOrders(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const orders = await tools.operatorApi.ask(client => client.orders.query());
-    tools.output.table(orders, [
+async function listOrders(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const orders = await context.operatorApi.ask(client => client.orders.query());
+    context.output.printTable(orders, [
         { title: "ORDER", read: row => row.orderId },
         { title: "TO", read: row => row.target.to === "engine" ? row.target.upstream : "platform" },
         { title: "ACTION", read: row => row.target.body.action },
@@ -54,8 +54,8 @@
     readonly adjustments: number;
 }
 
-async function listWindows(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const { open, closed } = await tools.operatorApi.ask(client => client.windows.query());
+async function listWindows(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const { open, closed } = await context.operatorApi.ask(client => client.windows.query());
     const rows: readonly WindowRow[] = [
         ...closed.map(window => ({
             window: window.window,
@@ -72,7 +72,7 @@
             adjustments: window.adjustments.length,
         })),
     ];
-    tools.output.table(rows, [
+    context.output.printTable(rows, [
         { title: "START", read: row => row.window },
         { title: "TIME", read: row => formatTime(row.window) },
         { title: "STATE", read: row => row.state },
@@ -85,9 +85,11 @@
     ]);
 }
 
-async function showWindow([start]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const window = await tools.operatorApi.ask(client => client.window.query(readNumber(start, "<start>")));
-    tools.output.table(window.lines, [
+async function showWindow([start]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const window = await context.operatorApi.ask(client =>
+        client.window.query(readRequiredWholeNumber(start, "<start>"))
+    );
+    context.output.printTable(window.lines, [
         { title: "WORKSPACE", read: row => row.workspace },
         { title: "POOL", read: row => row.pool },
         { title: "CLASS", read: row => row.class },
--- a/src/cli/cliError/index.ts
+++ b/src/cli/cliError/index.ts
@@ -1,11 +1,11 @@
-/** The command did what it could and failed. */
+/** Exit code of a command that failed. */
 export const EXIT_FAILED = 1;
-/** The command line itself is wrong. */
+/** Exit code for an invalid command line. */
 export const EXIT_USAGE = 2;
 
-/** A failure that the operator gets as one line. */
+/** A failure that is reported to the operator in one line. */
 export class CliError extends Error {
-    /** @param exitCode - What the process ends with. */
+    /** @param exitCode - Exit code of the process. */
     constructor(message: string, readonly exitCode: number = EXIT_FAILED) {
         super(message);
     }
--- a/src/cli/commandDefinition/index.ts
+++ b/src/cli/commandDefinition/index.ts
@@ -3,35 +3,36 @@
 import { OperatorApi } from "../operatorApi/index.js";
 import { Output } from "../output/index.js";
 
-/** What a command works with. */
-export interface CommandTools {
+/** APIs and output available to a command. */
+export interface CommandContext {
     readonly operatorApi: OperatorApi;
     readonly entryApi: EntryApi;
     readonly output: Output;
-    /** Who asks. */
+    /** Name of the operator, recorded with each change. */
     readonly operator: string;
     readonly random: Random;
-    /** Reads a file that the operator names; `-` is the standard input. */
+    /** Reads a file given on the command line; `-` stands for the standard input. */
     readonly readFile: (path: string) => Promise<string>;
 }
 
-/** The values of a command's options, as the parser gives them. */
+/** Value of an option as returned by the parser. */
 export type OptionValue = string | number | boolean | readonly (string | number)[] | undefined;
+/** Values of a command's options by name. */
 export type CommandOptions = Readonly<Record<string, OptionValue>>;
 
 /** One option of a command. */
 export interface OptionDefinition {
-    /** For example `--revision <number>`. */
+    /** Name and argument, for example `--revision <number>`. */
     readonly usage: string;
     readonly description: string;
 }
 
-/** One command of the tool. */
+/** One command of the tool, with its help texts. */
 export interface CommandDefinition {
-    /** One or two words and the arguments, for example `key grant <workspace>`. */
+    /** Name of one or two words and the arguments, for example `key grant <workspace>`. */
     readonly usage: string;
     readonly description: string;
     readonly options: readonly OptionDefinition[];
     readonly examples: readonly string[];
-    readonly run: (args: readonly string[], options: CommandOptions, tools: CommandTools) => Promise<void>;
+    readonly run: (args: readonly string[], options: CommandOptions, context: CommandContext) => Promise<void>;
 }
--- a/src/cli/configCommands/index.ts
+++ b/src/cli/configCommands/index.ts
@@ -1,10 +1,10 @@
 import { ChangeAnswer } from "../../control/index.js";
 import { ChangeId, TemplateName, WorkspaceId } from "../../ids/index.js";
 import { ParameterAssignment, TemplateSpec } from "../../workspace/index.js";
-import { describeAnswer } from "../_lib/describeAnswer.js";
-import { CHANGE_ID_OPTION, readNumber, readTexts, readWholeNumber } from "../_lib/readOptions.js";
+import { describeChangeAnswer } from "../_lib/describeChangeAnswer.js";
+import { CHANGE_ID_OPTION, readRequiredWholeNumber, readTexts, readWholeNumber } from "../_lib/readOptions.js";
 import { CliError, EXIT_USAGE } from "../cliError/index.js";
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 
 const REVISION_OPTION = {
     usage: "--revision <number>",
@@ -15,7 +15,7 @@
     description: "Tokens in one usage window; without it the template's limit holds",
 };
 
-/** Commands on templates and workspaces. */
+/** Commands that show and change templates and workspaces. */
 export const configCommands: readonly CommandDefinition[] = [
     {
         usage: "template put <name>",
@@ -87,31 +87,31 @@
     },
 ];
 
-async function putTemplate([name]: readonly string[], options: CommandOptions, tools: CommandTools): Promise<void> {
+async function putTemplate([name]: readonly string[], options: CommandOptions, context: CommandContext): Promise<void> {
     const [file] = readTexts(options.file);
     if (file === undefined) throw new CliError("--file is missing", EXIT_USAGE);
-    const given = parseJson(await tools.readFile(file), file);
-    await change(tools, options, author => ({
+    const input = parseJson(await context.readFile(file), file);
+    await submitChange(context, options, author => ({
         kind: "template.put",
         ...author,
         name: name as TemplateName,
-        // What `template show --json` prints can be edited and put again.
-        spec: given.spec ?? given as unknown as TemplateSpec,
+        // Accepts the output of `template show --json`, which has the template under `spec`, so that it can be edited and put.
+        spec: input.spec ?? input as unknown as TemplateSpec,
         base: readWholeNumber(options.revision, "--revision") ?? 0,
     }), `template ${name}`);
 }
 
-async function showTemplate([name]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const template = await tools.operatorApi.ask(client => client.template.query(name));
-    tools.output.record(template, [
+async function showTemplate([name]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const template = await context.operatorApi.ask(client => client.template.query(name));
+    context.output.printRecord(template, [
         `template ${template.name}, revision ${template.revision}, by ${template.operator}`,
         JSON.stringify(template.spec, undefined, 4),
     ]);
 }
 
-async function listTemplates(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const templates = await tools.operatorApi.ask(client => client.templates.query());
-    tools.output.table(templates, [
+async function listTemplates(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const templates = await context.operatorApi.ask(client => client.templates.query());
+    context.output.printTable(templates, [
         { title: "NAME", read: row => row.name },
         { title: "REVISION", read: row => row.revision },
         { title: "BY", read: row => row.operator },
@@ -119,10 +119,14 @@
     ]);
 }
 
-async function createWorkspace([id]: readonly string[], options: CommandOptions, tools: CommandTools): Promise<void> {
+async function createWorkspace(
+    [id]: readonly string[],
+    options: CommandOptions,
+    context: CommandContext,
+): Promise<void> {
     const [template] = readTexts(options.template);
     if (template === undefined) throw new CliError("--template is missing", EXIT_USAGE);
-    await change(tools, options, author => ({
+    await submitChange(context, options, author => ({
         kind: "workspace.create",
         ...author,
         id: id as WorkspaceId,
@@ -132,10 +136,10 @@
     }), `workspace ${id}`);
 }
 
-async function showWorkspace([id]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const workspace = await tools.operatorApi.ask(client => client.workspace.query(id));
+async function showWorkspace([id]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const workspace = await context.operatorApi.ask(client => client.workspace.query(id));
     const { view } = workspace;
-    tools.output.record(workspace, [
+    context.output.printRecord(workspace, [
         `workspace ${id}, template ${workspace.template}, revision ${workspace.revision}, by ${workspace.operator}`,
         `weight ${view.weight}, token limit ${view.tokenLimit ?? "none"}, default class ${view.defaultClass}`,
         `pools ${view.pools.join(", ") || "all"}; not repeatable: ${view.nonRepeatable.join(", ") || "none"}`,
@@ -146,9 +150,9 @@
     ]);
 }
 
-async function listWorkspaces(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const workspaces = await tools.operatorApi.ask(client => client.workspaces.query());
-    tools.output.table(workspaces, [
+async function listWorkspaces(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const workspaces = await context.operatorApi.ask(client => client.workspaces.query());
+    context.output.printTable(workspaces, [
         { title: "ID", read: row => row.id },
         { title: "TEMPLATE", read: row => row.template },
         { title: "REVISION", read: row => row.revision },
@@ -157,34 +161,46 @@
     ]);
 }
 
-async function limitWorkspace([id]: readonly string[], options: CommandOptions, tools: CommandTools): Promise<void> {
-    await change(tools, options, author => ({
+async function limitWorkspace(
+    [id]: readonly string[],
+    options: CommandOptions,
+    context: CommandContext,
+): Promise<void> {
+    await submitChange(context, options, author => ({
         kind: "workspace.limit",
         ...author,
         id: id as WorkspaceId,
         tokenLimit: readWholeNumber(options.limit, "--limit"),
-        base: readNumber(options.revision, "--revision"),
+        base: readRequiredWholeNumber(options.revision, "--revision"),
     }), `workspace ${id}`);
 }
 
-async function removeWorkspace([id]: readonly string[], options: CommandOptions, tools: CommandTools): Promise<void> {
-    await change(tools, options, author => ({
+async function removeWorkspace(
+    [id]: readonly string[],
+    options: CommandOptions,
+    context: CommandContext,
+): Promise<void> {
+    await submitChange(context, options, author => ({
         kind: "workspace.remove",
         ...author,
         id: id as WorkspaceId,
-        base: readNumber(options.revision, "--revision"),
+        base: readRequiredWholeNumber(options.revision, "--revision"),
     }), `workspace ${id}`);
 }
 
-async function change(
-    tools: CommandTools,
+async function submitChange(
+    context: CommandContext,
     options: CommandOptions,
-    describe: (author: { changeId: ChangeId; operator: string; }) => Parameters<typeof tools.operatorApi.change>[0],
-    what: string,
+    buildChange: (
+        author: { changeId: ChangeId; operator: string; },
+    ) => Parameters<typeof context.operatorApi.change>[0],
+    subject: string,
 ): Promise<void> {
-    const changeId = (readTexts(options.changeId)[0] ?? tools.random.id()) as ChangeId;
-    const answer: ChangeAnswer = await tools.operatorApi.change(describe({ changeId, operator: tools.operator }));
-    tools.output.record(answer, [describeAnswer(what, answer)]);
+    const changeId = (readTexts(options.changeId)[0] ?? context.random.id()) as ChangeId;
+    const answer: ChangeAnswer = await context.operatorApi.change(
+        buildChange({ changeId, operator: context.operator }),
+    );
+    context.output.printRecord(answer, [describeChangeAnswer(subject, answer)]);
 }
 
 function readParameter(text: string): ParameterAssignment {
--- a/src/cli/documentCommands/index.ts
+++ b/src/cli/documentCommands/index.ts
@@ -1,6 +1,6 @@
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 
-/** Commands on the fleet document, which routes calls of any path. */
+/** Commands that apply and print the fleet document, which defines the routes of calls of any path. */
 export const documentCommands: readonly CommandDefinition[] = [
     {
         usage: "config apply <file>",
@@ -18,17 +18,17 @@
     },
 ];
 
-async function applyDocument([file]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const text = await tools.readFile(file);
-    const answer = await tools.operatorApi.ask(client => client.applyDocument.mutate(text));
+async function applyDocument([file]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const text = await context.readFile(file);
+    const answer = await context.operatorApi.ask(client => client.applyDocument.mutate(text));
     const { version, state, revision } = answer;
     const line = state === "replaced"
         ? `version ${version} is in force, revision ${revision}`
         : `version ${version} changes nothing: one that is not lower is in force, revision ${revision}`;
-    tools.output.record(answer, [line]);
+    context.output.printRecord(answer, [line]);
 }
 
-async function readDocument(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const text = await tools.operatorApi.ask(client => client.readDocument.query());
-    tools.output.record(JSON.parse(text), [text.trimEnd()]);
+async function readDocument(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const text = await context.operatorApi.ask(client => client.readDocument.query());
+    context.output.printRecord(JSON.parse(text), [text.trimEnd()]);
 }
--- a/src/cli/entryApi/index.ts
+++ b/src/cli/entryApi/index.ts
@@ -4,24 +4,24 @@
 import { CliError } from "../cliError/index.js";
 import { OperatorApi } from "../operatorApi/index.js";
 
-/** One entry's procedures. */
+/** tRPC client for the admin procedures of one entry. */
 export type EntryClient = TRPCClient<EntryAdminRouter>;
 
-/** What an entry answered. */
+/** Answer of one entry. */
 export interface EntryAnswer<Answer> {
     readonly host: string;
     readonly answer: Answer;
 }
 
-interface Entry {
+interface LiveEntry {
     readonly host: string;
     readonly client: EntryClient;
 }
 
-const ANSWER_MS = 5_000;
+const CALL_TIMEOUT_MS = 5_000;
 
 /**
- * Asks entries, at the addresses that the holder knows.
+ * Calls the admin procedures of entries, at the addresses that the holder lists.
  *
  * @example
  * const answers = await entries.askAll(client => client.queues.query());
@@ -30,15 +30,15 @@
     constructor(private readonly operatorApi: OperatorApi, private readonly http: Http) {}
 
     /**
-     * Asks each entry.
+     * Calls a procedure on each entry.
      *
-     * @returns The answers of those that gave one.
-     * @throws CliError when none did.
+     * @returns The answers of the entries that answered.
+     * @throws CliError when no entry answered.
      */
-    async askAll<Answer>(question: (client: EntryClient) => Promise<Answer>): Promise<readonly EntryAnswer<Answer>[]> {
+    async callAll<Answer>(call: (client: EntryClient) => Promise<Answer>): Promise<readonly EntryAnswer<Answer>[]> {
         const entries = await this.listEntries();
         const settled = await Promise.allSettled(
-            entries.map(async ({ host, client }) => ({ host, answer: await question(client) })),
+            entries.map(async ({ host, client }) => ({ host, answer: await call(client) })),
         );
         const answers = settled.flatMap(result => result.status === "fulfilled" ? [result.value] : []);
         if (answers.length > 0) return answers;
@@ -46,18 +46,22 @@
         throw new CliError(failure ? (failure.reason as Error).message : "the holder knows no live entry");
     }
 
-    /** Asks one entry. */
-    async askOne<Answer>(host: string, question: (client: EntryClient) => Promise<Answer>): Promise<Answer> {
+    /**
+     * Calls a procedure on the entry of one host.
+     *
+     * @throws CliError when the host has no live entry or the call fails.
+     */
+    async callOne<Answer>(host: string, call: (client: EntryClient) => Promise<Answer>): Promise<Answer> {
         const entry = (await this.listEntries()).find(each => each.host === host);
         if (!entry) throw new CliError(`no live entry runs on host ${host}`);
-        return question(entry.client).catch((err: Error) => {
+        return call(entry.client).catch((err: Error) => {
             throw new CliError(`${host}: ${err.message}`);
         });
     }
 
-    private async listEntries(): Promise<readonly Entry[]> {
+    private async listEntries(): Promise<readonly LiveEntry[]> {
         const hosts = await this.operatorApi.ask(client => client.hosts.query());
-        const fetch = createTrpcFetch(this.http, ANSWER_MS);
+        const fetch = createTrpcFetch(this.http, CALL_TIMEOUT_MS);
         return hosts.flatMap(({ host, adminAddress }) => {
             const address = adminAddress === undefined ? undefined : parseAddress(adminAddress);
             if (!address) return [];
--- a/src/cli/fleetCommands/index.ts
+++ b/src/cli/fleetCommands/index.ts
@@ -1,10 +1,10 @@
 import { UpstreamRow } from "../../control/index.js";
 import { readTexts } from "../_lib/readOptions.js";
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 import { EntryAnswer } from "../entryApi/index.js";
 import { formatTime } from "../output/index.js";
 
-/** Commands on hosts, upstreams, queues and requests. */
+/** Commands that show hosts, upstreams, queues, histograms and requests, and drain or stop hosts. */
 export const fleetCommands: readonly CommandDefinition[] = [
     {
         usage: "hosts",
@@ -60,9 +60,9 @@
     },
 ];
 
-async function listHosts(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const hosts = await tools.operatorApi.ask(client => client.hosts.query());
-    tools.output.table(hosts, [
+async function listHosts(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const hosts = await context.operatorApi.ask(client => client.hosts.query());
+    context.output.printTable(hosts, [
         { title: "HOST", read: row => row.host },
         { title: "ZONE", read: row => row.zone },
         { title: "REVISION", read: row => row.revision },
@@ -72,20 +72,20 @@
     ]);
 }
 
-async function drainHost([host]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    await tools.entryApi.askOne(host, client => client.drain.mutate());
-    tools.output.record({ host, state: "draining" }, [`${host}: draining`]);
+async function drainHost([host]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    await context.entryApi.callOne(host, client => client.drain.mutate());
+    context.output.printRecord({ host, state: "draining" }, [`${host}: draining`]);
 }
 
-async function stopHost([host]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    await tools.entryApi.askOne(host, client => client.stop.mutate());
-    tools.output.record({ host, state: "stopping" }, [`${host}: stopping once its requests are done`]);
+async function stopHost([host]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    await context.entryApi.callOne(host, client => client.stop.mutate());
+    context.output.printRecord({ host, state: "stopping" }, [`${host}: stopping once its requests are done`]);
 }
 
-async function listUpstreams(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const answers = await tools.entryApi.askAll(client => client.upstreams.query());
-    const rows = keepLatest(answers.flatMap(({ answer }) => answer));
-    tools.output.table(rows, [
+async function listUpstreams(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const answers = await context.entryApi.callAll(client => client.upstreams.query());
+    const rows = keepLatestRows(answers.flatMap(({ answer }) => answer));
+    context.output.printTable(rows, [
         { title: "UPSTREAM", read: row => row.upstream },
         { title: "KIND", read: row => row.kind },
         { title: "POOLS", read: row => row.pools.join(",") },
@@ -101,8 +101,11 @@
     ]);
 }
 
-/** An entry knows the upstreams that it heard of, or whose queue it owns: of each the one who heard it last. */
-function keepLatest(rows: readonly UpstreamRow[]): UpstreamRow[] {
+/**
+ * Keeps one row per upstream, from the entry that heard of it last: an upstream is listed by each entry that it announced
+ * itself to and by the entry that owns its queue.
+ */
+function keepLatestRows(rows: readonly UpstreamRow[]): UpstreamRow[] {
     const latest = new Map<string, UpstreamRow>();
     for (const row of rows) {
         const known = latest.get(row.upstream);
@@ -111,9 +114,9 @@
     return [...latest.values()].sort((a, b) => a.upstream < b.upstream ? -1 : 1);
 }
 
-async function listQueues(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const rows = joinRows(await tools.entryApi.askAll(client => client.queues.query()));
-    tools.output.table(rows, [
+async function listQueues(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const rows = flattenRows(await context.entryApi.callAll(client => client.queues.query()));
+    context.output.printTable(rows, [
         { title: "HOST", read: row => row.host },
         { title: "POOL", read: row => row.pool },
         { title: "TIER", read: row => row.tier },
@@ -123,14 +126,14 @@
     ]);
 }
 
-async function listHistograms(_: readonly string[], options: CommandOptions, tools: CommandTools): Promise<void> {
-    const all = joinRows(await tools.entryApi.askAll(client => client.histograms.query()));
+async function listHistograms(_: readonly string[], options: CommandOptions, context: CommandContext): Promise<void> {
+    const all = flattenRows(await context.entryApi.callAll(client => client.histograms.query()));
     const [workspace] = readTexts(options.workspace);
     const [className] = readTexts(options.class);
     const rows = all
         .filter(row => workspace === undefined || row.workspace === workspace)
         .filter(row => className === undefined || row.className === className);
-    tools.output.table(rows, [
+    context.output.printTable(rows, [
         { title: "HOST", read: row => row.host },
         { title: "METRIC", read: row => row.metric },
         { title: "WORKSPACE", read: row => row.workspace },
@@ -143,10 +146,10 @@
     ]);
 }
 
-async function explainRequest([request]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const [{ host, answer }] = await tools.entryApi.askAll(client => client.explain.query(request));
+async function explainRequest([request]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const [{ host, answer }] = await context.entryApi.callAll(client => client.explain.query(request));
     const outcome = answer.outcome ?? "running";
-    tools.output.record({ host, ...answer }, [
+    context.output.printRecord({ host, ...answer }, [
         `request ${request} on ${host}: ${outcome}`,
         `workspace ${answer.workspace}, class ${answer.className} (tier ${answer.tier}), pool ${answer.pool}`,
         `arrived ${formatTime(answer.arrivedAt)}, waited ${formatMs(answer.waitedMs)}, `
@@ -160,6 +163,8 @@
     return ms === undefined ? "-" : `${Math.round(ms)} ms`;
 }
 
-function joinRows<Row>(answers: readonly EntryAnswer<readonly Row[]>[]): readonly (Row & { readonly host: string; })[] {
+function flattenRows<Row>(
+    answers: readonly EntryAnswer<readonly Row[]>[],
+): readonly (Row & { readonly host: string; })[] {
     return answers.flatMap(({ host, answer }) => answer.map(row => ({ host, ...row })));
 }
--- a/src/cli/index.ts
+++ b/src/cli/index.ts
@@ -1,4 +1,4 @@
-/** The operators' tool `sequoiamux`. */
+/** The operator tool `sequoiamux`: its commands and the clients for the admin interfaces of control hosts and entries. */
 export * from "./cliError/index.js";
 export * from "./commandDefinition/index.js";
 export * from "./entryApi/index.js";
--- a/src/cli/keyCommands/index.ts
+++ b/src/cli/keyCommands/index.ts
@@ -1,13 +1,13 @@
 import { ChangeId, KeyId, WorkspaceId } from "../../ids/index.js";
 import { createKey, hashKey } from "../../workspace/index.js";
-import { describeAnswer } from "../_lib/describeAnswer.js";
+import { describeChangeAnswer } from "../_lib/describeChangeAnswer.js";
 import { CHANGE_ID_OPTION, readTexts } from "../_lib/readOptions.js";
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 import { formatTime } from "../output/index.js";
 
 const KEY_ID_LENGTH = 12;
 
-/** Commands on keys. */
+/** Commands that grant, list and withdraw keys. */
 export const keyCommands: readonly CommandDefinition[] = [
     {
         usage: "key grant <workspace>",
@@ -32,25 +32,27 @@
     },
 ];
 
-/** The key is made here, and only its hash is sent: an answer that is lost can't lose the key, and no host ever has it. */
-async function grantKey([workspace]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const key = createKey(tools.random);
-    const keyId = tools.random.id().slice(0, KEY_ID_LENGTH) as KeyId;
-    const answer = await tools.operatorApi.change({
+/**
+ * Generates a key and sends only its hash, so that no host ever has the key and a lost answer can't lose it.
+ */
+async function grantKey([workspace]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const key = createKey(context.random);
+    const keyId = context.random.id().slice(0, KEY_ID_LENGTH) as KeyId;
+    const answer = await context.operatorApi.change({
         kind: "key.grant",
-        changeId: tools.random.id() as ChangeId,
-        operator: tools.operator,
+        changeId: context.random.id() as ChangeId,
+        operator: context.operator,
         workspace: workspace as WorkspaceId,
         keyId,
         hash: hashKey(key),
     });
-    const line = describeAnswer(`key ${keyId}`, answer);
-    tools.output.record({ keyId, key, ...answer }, [line, `key, shown this once: ${key}`]);
+    const line = describeChangeAnswer(`key ${keyId}`, answer);
+    context.output.printRecord({ keyId, key, ...answer }, [line, `key, shown this once: ${key}`]);
 }
 
-async function listKeys([workspace]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const keys = await tools.operatorApi.ask(client => client.keys.query(workspace));
-    tools.output.table(keys, [
+async function listKeys([workspace]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const keys = await context.operatorApi.ask(client => client.keys.query(workspace));
+    context.output.printTable(keys, [
         { title: "KEY ID", read: row => row.id },
         { title: "GRANTED", read: row => formatTime(row.grantedAt) },
         { title: "WITHDRAWN", read: row => formatTime(row.withdrawnAt) },
@@ -58,12 +60,16 @@
     ]);
 }
 
-async function withdrawKey([keyId]: readonly string[], options: CommandOptions, tools: CommandTools): Promise<void> {
-    const answer = await tools.operatorApi.change({
+async function withdrawKey(
+    [keyId]: readonly string[],
+    options: CommandOptions,
+    context: CommandContext,
+): Promise<void> {
+    const answer = await context.operatorApi.change({
         kind: "key.withdraw",
-        changeId: (readTexts(options.changeId)[0] ?? tools.random.id()) as ChangeId,
-        operator: tools.operator,
+        changeId: (readTexts(options.changeId)[0] ?? context.random.id()) as ChangeId,
+        operator: context.operator,
         keyId: keyId as KeyId,
     });
-    tools.output.record(answer, [describeAnswer(`key ${keyId}`, answer)]);
+    context.output.printRecord(answer, [describeChangeAnswer(`key ${keyId}`, answer)]);
 }
--- a/src/cli/main.ts
+++ b/src/cli/main.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The program `sequoiamux`. */
+/** The operator tool `sequoiamux`: runs the command given on the command line. */
 import { homedir, userInfo } from "node:os";
 import { basename, dirname, join, resolve } from "node:path";
 import { FileDisk, NodeHttp, SystemClock, SystemRandom } from "../ports/index.js";
--- a/src/cli/operatorApi/index.ts
+++ b/src/cli/operatorApi/index.ts
@@ -4,75 +4,81 @@
 import { ConfigChange } from "../../workspace/index.js";
 import { CliError } from "../cliError/index.js";
 
-/** One control host's procedures. */
+/** tRPC client for the operator procedures of one control host. */
 export type OperatorClient = TRPCClient<OperatorRouter>;
 
-const TOTAL_MS = 15_000;
-/** Longer than a change waits to be in force. */
-const ANSWER_MS = 9_000;
-const RETRY_MS = 250;
+const TOTAL_TIMEOUT_MS = 15_000;
+/** Longer than the time for which a control host waits until a change is in force. */
+const CALL_TIMEOUT_MS = 9_000;
+const RETRY_DELAY_MS = 250;
 
-/** What the API is made of. */
+/** Options of `OperatorApi`. */
 export interface OperatorApiOptions {
     readonly http: Http;
     readonly clock: Clock;
+    /** Operator addresses of control hosts; at least one. */
     readonly control: readonly Address[];
 }
 
-/** Where to ask next, or why it is of no use. */
+/** Whether to retry a failed call, and the holder's address if the error contains it. */
 type NextStep = { readonly kind: "retry"; readonly holder?: Address; } | { readonly kind: "give-up"; };
 
 /**
- * Asks the control hosts: goes on to the holder when another answers, and to the next host when none does. A change is sent
- * again after a lost answer, under its change id, and so gets its first answer.
+ * Calls the operator procedures of the control hosts. A call that reaches another host than the holder is retried at the
+ * holder, and one without an answer at the next host. A change is resent under its change ID after a lost answer, so that it
+ * is applied once and gets its first answer.
  *
  * @example
  * const orders = await api.ask(client => client.orders.query());
  */
 export class OperatorApi {
-    private at = 0;
+    private currentIndex = 0;
     private readonly addresses: Address[];
 
     constructor(private readonly options: OperatorApiOptions) {
         this.addresses = [...options.control];
     }
 
-    /** @throws CliError with what the holder said, or when no control host answers in time. */
-    async ask<Answer>(question: (client: OperatorClient) => Promise<Answer>): Promise<Answer> {
+    /**
+     * Calls a procedure at the holder, with retries.
+     *
+     * @throws CliError with the holder's error message, or when no control host answers in time.
+     */
+    async ask<Answer>(call: (client: OperatorClient) => Promise<Answer>): Promise<Answer> {
         const { clock } = this.options;
-        const deadline = clock.monotonic() + TOTAL_MS;
+        const deadline = clock.monotonic() + TOTAL_TIMEOUT_MS;
         for (;;) {
             try {
-                return await question(this.connect(this.addresses[this.at % this.addresses.length]));
+                return await call(this.connect(this.addresses[this.currentIndex % this.addresses.length]));
             }
             catch (err) {
-                const next = judgeError(err);
-                if (next.kind === "give-up" || clock.monotonic() >= deadline) throw describeError(err);
-                if (next.holder) this.turnTo(next.holder);
-                else this.at++;
+                const next = getNextStep(err);
+                if (next.kind === "give-up" || clock.monotonic() >= deadline) throw toCliError(err);
+                if (next.holder) this.switchTo(next.holder);
+                else this.currentIndex++;
             }
-            await clock.sleep(RETRY_MS);
+            await clock.sleep(RETRY_DELAY_MS);
         }
     }
 
-    /** Sends a change of the configuration. */
+    /** Submits a configuration change. */
     change(change: ConfigChange): Promise<ChangeAnswer> {
-        // The procedure's input is inferred from the schema, which knows nothing of branded ids.
+        // The procedure's input type is inferred from the schema, which has no branded IDs.
         return this.ask(client => client.change.mutate(change as never));
     }
 
     private connect(address: Address): OperatorClient {
-        const fetch = createTrpcFetch(this.options.http, ANSWER_MS);
+        const fetch = createTrpcFetch(this.options.http, CALL_TIMEOUT_MS);
         return createTRPCClient<OperatorRouter>({ links: [httpLink({ url: formatTrpcUrl(address), fetch })] });
     }
 
-    private turnTo(holder: Address): void {
+    private switchTo(holder: Address): void {
         const known = this.addresses.findIndex(({ host, port }) => host === holder.host && port === holder.port);
-        this.at = known >= 0 ? known : this.addresses.push(holder) - 1;
+        this.currentIndex = known >= 0 ? known : this.addresses.push(holder) - 1;
     }
 }
 
-function judgeError(err: unknown): NextStep {
+function getNextStep(err: unknown): NextStep {
     if (!(err instanceof TRPCClientError)) return { kind: "give-up" };
     if (err.cause instanceof HttpError) return { kind: "retry" };
     const data = err.data as { code?: string; holder?: string; } | undefined;
@@ -81,14 +87,14 @@
     return { kind: "retry", holder: data.holder === undefined ? undefined : parseAddress(data.holder) };
 }
 
-function describeError(err: unknown): CliError {
+function toCliError(err: unknown): CliError {
     if (!(err instanceof TRPCClientError)) return new CliError(String(err));
     if (err.cause instanceof HttpError) return new CliError(`no control host answers (${err.cause.message})`);
-    return new CliError(describeMessage(err.message));
+    return new CliError(shortenMessage(err.message));
 }
 
-/** Input that a procedure refuses comes as a JSON list of issues; the first one says enough. */
-function describeMessage(message: string): string {
+/** Shortens a validation error of a procedure, which is a JSON list of issues, to the first issue. */
+function shortenMessage(message: string): string {
     if (!message.startsWith("[")) return message;
     const [issue] = JSON.parse(message) as readonly { readonly path: readonly string[]; readonly message: string; }[];
     return `${issue.path.join(".")}: ${issue.message}`;
--- a/src/cli/output/index.ts
+++ b/src/cli/output/index.ts
@@ -1,13 +1,14 @@
 /** One column of a table. */
 export interface Column<Row> {
     readonly title: string;
+    /** Returns the cell's value; undefined is printed as `-`. */
     readonly read: (row: Row) => string | number | boolean | undefined;
 }
 
 const COLUMN_GAP = "  ";
 
 /**
- * Prints results: tables for a person, or JSON for a program.
+ * Prints results as text for a person or as JSON for a program.
  *
  * @example
  * output.table(rows, [{ title: "ID", read: row => row.id }]);
@@ -15,13 +16,13 @@
 export class Output {
     constructor(private readonly write: (text: string) => void, private readonly isJson: boolean) {}
 
-    /** Prints rows; as JSON, all their fields. */
-    table<Row>(rows: readonly Row[], columns: readonly Column<Row>[]): void {
+    /** Prints rows as a table with the given columns, or as JSON with all fields. */
+    printTable<Row>(rows: readonly Row[], columns: readonly Column<Row>[]): void {
         this.write(`${this.isJson ? JSON.stringify(rows, undefined, 4) : formatTable(rows, columns)}\n`);
     }
 
-    /** Prints one thing: as JSON, whole; else the lines given. */
-    record(value: unknown, lines: readonly string[]): void {
+    /** Prints a single result: the given lines, or the whole value as JSON. */
+    printRecord(value: unknown, lines: readonly string[]): void {
         this.write(`${this.isJson ? JSON.stringify(value, undefined, 4) : lines.join("\n")}\n`);
     }
 }
@@ -41,7 +42,7 @@
     return cells.map((cell, at) => cell.padEnd(widths[at])).join(COLUMN_GAP).trimEnd();
 }
 
-/** Writes a wall time for a person. */
+/** Formats a Unix time in milliseconds as ISO 8601. */
 export function formatTime(ms: number | undefined): string | undefined {
     return ms === undefined ? undefined : new Date(ms).toISOString();
 }
--- a/src/cli/profile/index.ts
+++ b/src/cli/profile/index.ts
@@ -4,7 +4,7 @@
 
 const DEFAULT_PROFILE = "default";
 
-/** Options and environment variables that say where the control hosts are and who asks. */
+/** Options and environment variables that define the control hosts and the operator's name. */
 export interface ProfileInput {
     /** `--control`. */
     readonly control?: string;
@@ -16,14 +16,15 @@
     readonly controlVariable?: string;
     /** `SEQUOIAMUX_OPERATOR`. */
     readonly operatorVariable?: string;
-    /** The account's name. */
+    /** Name of the operating system account, the default for the operator's name. */
     readonly userName: string;
     /** Reads the profile file; undefined when there is none. */
     readonly readProfiles: () => Promise<string | undefined>;
 }
 
-/** Where to ask, and as whom. */
+/** Control hosts to call and the operator's name. */
 export interface Profile {
+    /** Operator addresses of control hosts. */
     readonly control: readonly Address[];
     readonly operator: string;
 }
@@ -34,12 +35,13 @@
 }
 
 /**
- * Decides where the control hosts are: the option, else the variable, else the profile file's section.
+ * Resolves the control hosts and the operator's name from the options, else the environment variables, else the section of
+ * the profile file.
  *
- * @throws CliError when none says so, or what it says can't be read.
+ * @throws CliError when none of them names control hosts, or the value is invalid.
  */
 export async function loadProfile(input: ProfileInput): Promise<Profile> {
-    const section = await readSection(input);
+    const section = await readProfileSection(input);
     const control = input.control ?? input.controlVariable ?? section.control;
     if (!control) {
         throw new CliError("where are the control hosts? Give --control ADDR[,ADDR] or SEQUOIAMUX_CONTROL", EXIT_USAGE);
@@ -48,7 +50,7 @@
     return { control: control.split(",").map(readAddress), operator };
 }
 
-async function readSection({ profile, readProfiles }: ProfileInput): Promise<ProfileSection> {
+async function readProfileSection({ profile, readProfiles }: ProfileInput): Promise<ProfileSection> {
     const text = await readProfiles();
     const sections = parse(text ?? "") as Record<string, ProfileSection | undefined>;
     const section = sections[profile ?? DEFAULT_PROFILE];
--- a/src/cli/quarantineCommands/index.ts
+++ b/src/cli/quarantineCommands/index.ts
@@ -1,6 +1,6 @@
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 
-/** Commands on requests that crash upstreams. */
+/** Commands that list and lift quarantines of requests that crash upstreams. */
 export const quarantineCommands: readonly CommandDefinition[] = [
     {
         usage: "quarantine list",
@@ -18,9 +18,9 @@
     },
 ];
 
-async function listRequests(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const requests = await tools.operatorApi.ask(client => client.quarantinedRequests.query());
-    tools.output.table(requests, [
+async function listRequests(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const requests = await context.operatorApi.ask(client => client.quarantinedRequests.query());
+    context.output.printTable(requests, [
         { title: "FINGERPRINT", read: ({ fingerprint }) => fingerprint },
         { title: "UNTIL", read: ({ until }) => new Date(until).toISOString() },
         { title: "ROUNDS", read: ({ rounds }) => rounds },
@@ -31,9 +31,9 @@
 async function liftRequest(
     [fingerprint]: readonly string[],
     _: CommandOptions,
-    tools: CommandTools,
+    context: CommandContext,
 ): Promise<void> {
-    const answer = await tools.operatorApi.ask(client => client.liftQuarantine.mutate(fingerprint));
+    const answer = await context.operatorApi.ask(client => client.liftQuarantine.mutate(fingerprint));
     const how = answer.state === "changed" ? "may run again" : "was not quarantined";
-    tools.output.record(answer, [`request ${fingerprint} ${how}, revision ${answer.revision}`]);
+    context.output.printRecord(answer, [`request ${fingerprint} ${how}, revision ${answer.revision}`]);
 }
--- a/src/cli/runCli/index.ts
+++ b/src/cli/runCli/index.ts
@@ -3,7 +3,7 @@
 import { readTexts } from "../_lib/readOptions.js";
 import { billingCommands } from "../billingCommands/index.js";
 import { CliError, EXIT_FAILED, EXIT_USAGE } from "../cliError/index.js";
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 import { configCommands } from "../configCommands/index.js";
 import { documentCommands } from "../documentCommands/index.js";
 import { EntryApi } from "../entryApi/index.js";
@@ -25,12 +25,13 @@
     ...billingCommands,
 ];
 
-/** What the tool gets from the process it runs in. */
+/** Access of the tool to its process: network, files, output and environment. */
 export interface CliEnvironment {
     readonly http: Http;
     readonly clock: Clock;
     readonly random: Random;
     readonly variables: Readonly<Record<string, string | undefined>>;
+    /** Name of the operating system account. */
     readonly userName: string;
     readonly readFile: (path: string) => Promise<string>;
     /** Reads the profile file; undefined when there is none. */
@@ -42,14 +43,14 @@
 /**
  * Runs one command line.
  *
- * @param words - The words after the program's name.
+ * @param argv - Arguments after the program's name.
  * @returns The process's exit code: 0, 1 for a command that failed, 2 for a wrong command line.
  * @example
  * process.exitCode = await runCli(process.argv.slice(2), environment);
  */
-export async function runCli(words: readonly string[], environment: CliEnvironment): Promise<number> {
+export async function runCli(argv: readonly string[], environment: CliEnvironment): Promise<number> {
     try {
-        await runCommand(words, environment);
+        await runCommand(argv, environment);
         return 0;
     }
     catch (err) {
@@ -59,13 +60,13 @@
     }
 }
 
-async function runCommand(words: readonly string[], environment: CliEnvironment): Promise<void> {
+async function runCommand(argv: readonly string[], environment: CliEnvironment): Promise<void> {
     const cli = createParser(environment);
-    cli.parse(["node", "sequoiamux", ...joinCommandWords(words)], { run: false });
+    cli.parse(["node", "sequoiamux", ...joinCommandName(argv)], { run: false });
     if (cli.options.help) return;
     if (!cli.matchedCommand) {
-        if (words.length === 0) return cli.outputHelp();
-        throw new CliError(`there is no command "${words.slice(0, 2).join(" ")}"; see --help`, EXIT_USAGE);
+        if (argv.length === 0) return cli.outputHelp();
+        throw new CliError(`there is no command "${argv.slice(0, 2).join(" ")}"; see --help`, EXIT_USAGE);
     }
     await cli.runMatchedCommand();
 }
@@ -85,14 +86,14 @@
     const command = cli.command(definition.usage, definition.description);
     for (const { usage, description } of definition.options) command.option(usage, description);
     for (const example of definition.examples) command.example(`  ${example}`);
-    command.action(async (...given: unknown[]) => {
-        const options = given.at(-1) as CommandOptions;
-        const args = given.slice(0, -1).map(String);
-        await definition.run(args, options, await createTools(options, environment));
+    command.action(async (...actionArgs: unknown[]) => {
+        const options = actionArgs.at(-1) as CommandOptions;
+        const args = actionArgs.slice(0, -1).map(String);
+        await definition.run(args, options, await createContext(options, environment));
     });
 }
 
-async function createTools(options: CommandOptions, environment: CliEnvironment): Promise<CommandTools> {
+async function createContext(options: CommandOptions, environment: CliEnvironment): Promise<CommandContext> {
     const { http, clock, random, variables, userName, readFile, readProfiles, writeOutput } = environment;
     const profile = await loadProfile({
         control: readTexts(options.control)[0],
@@ -114,13 +115,16 @@
     };
 }
 
-/** The parser knows a command by one word: two words that name a command become one, also behind options. */
-function joinCommandWords(words: readonly string[]): readonly string[] {
-    const at = words.findIndex((word, index) => isCommandPair(`${word} ${words[index + 1]}`));
-    if (at < 0) return words;
-    return [...words.slice(0, at), `${words[at]} ${words[at + 1]}`, ...words.slice(at + 2)];
+/**
+ * Joins the two words of a command's name into one argument, also behind options, since the parser matches a command by a
+ * single argument.
+ */
+function joinCommandName(argv: readonly string[]): readonly string[] {
+    const at = argv.findIndex((word, index) => isTwoWordCommand(`${word} ${argv[index + 1]}`));
+    if (at < 0) return argv;
+    return [...argv.slice(0, at), `${argv[at]} ${argv[at + 1]}`, ...argv.slice(at + 2)];
 }
 
-function isCommandPair(pair: string): boolean {
+function isTwoWordCommand(pair: string): boolean {
     return COMMANDS.some(({ usage }) => usage === pair || usage.startsWith(`${pair} `));
 }
--- a/src/cli/runCli/test.ts
+++ b/src/cli/runCli/test.ts
@@ -33,7 +33,7 @@
 
 const LOOPBACK: Address = { host: "127.0.0.1", port: 0 };
 const HOLDER = "control-1" as HostId;
-const OTHER = "control-2" as HostId;
+const FOLLOWER = "control-2" as HostId;
 const TEMPLATE = JSON.stringify({
     parameters: [{ name: "weight", default: 1 }],
     weight: "$weight",
@@ -43,7 +43,7 @@
     nonRepeatable: ["orders"],
 });
 
-/** Keeps the last document, whatever its version. */
+/** Keeps the last document, without comparing versions. */
 class FakeDocumentService {
     private held: HeldDocument | undefined;
 
@@ -58,18 +58,18 @@
     }
 }
 
-/** Keeps evacuations in the order in which they come. */
+/** Applies evacuations in the order in which they arrive; only the zone `vogar` exists. */
 class FakeZoneEvacuation {
-    private readonly book = new ZoneBook();
+    private readonly evacuations = new ZoneBook();
     private revision = 30;
 
     async order(command: ZoneCommand) {
         if (command.zone !== "vogar") return Left(new UnknownZoneError(`there is no zone ${command.zone}`));
-        return Right(this.book.apply(command, this.revision++));
+        return Right(this.evacuations.apply(command, this.revision++));
     }
 
     async read() {
-        return Right(this.book.list());
+        return Right(this.evacuations.list());
     }
 }
 
@@ -137,38 +137,46 @@
 const clock = new SystemClock();
 const http = new NodeHttp();
 const listeners: Listener[] = [];
-const documents = new FakeDocumentService() as unknown as DocumentService;
-const zones = new FakeZoneEvacuation() as unknown as ZoneEvacuation;
-const quarantine = new FakeQuarantineService() as unknown as QuarantineService;
-const group = new MemoryLogGroup(clock);
-const admin = new FakeEntryAdmin();
-let control = "";
-let pull: () => unknown;
+const documentService = new FakeDocumentService() as unknown as DocumentService;
+const zoneEvacuation = new FakeZoneEvacuation() as unknown as ZoneEvacuation;
+const quarantineService = new FakeQuarantineService() as unknown as QuarantineService;
+const logGroup = new MemoryLogGroup(clock);
+const entryAdmin = new FakeEntryAdmin();
+let controlAddresses = "";
+let sendViewPull: () => unknown;
 
 async function startControlHosts(): Promise<void> {
     const addresses: string[] = [];
     const logs: MemoryControlLog[] = [];
-    for (const host of [HOLDER, OTHER]) {
+    for (const host of [HOLDER, FOLLOWER]) {
         const state = new ControlState();
-        const log = group.join(host, state);
+        const log = logGroup.join(host, state);
         logs.push(log);
         const router = new PeerRouter();
         const service = new ControlService({ log, state, clock, router, viewLeaseMs: 2_000 });
-        const context = { log, state, service, documents, zones, quarantine, operatorAddresses: [] };
+        const context = {
+            log,
+            state,
+            service,
+            documents: documentService,
+            zones: zoneEvacuation,
+            quarantine: quarantineService,
+            operatorAddresses: [],
+        };
         const listener = await serveOperators(http, LOOPBACK, context);
         listeners.push(listener);
         addresses.push(formatAddress(listener.address));
-        if (host === HOLDER) pull = () => router.find(VIEW_PULL_METHOD)!(pullBody(), undefined as never);
+        if (host === HOLDER) sendViewPull = () => router.find(VIEW_PULL_METHOD)!(makePullBody(), undefined as never);
     }
-    group.elect(HOLDER);
+    logGroup.elect(HOLDER);
     const announcement = { kind: "holder.announce", host: HOLDER, operatorAddress: addresses[0] };
     assert.ok((await logs[0].propose(announcement)).isRight());
-    // Only the one that is not the holder is named: each command is sent on from it.
-    control = addresses[1];
+    // Only the host that is not the holder is configured, so that each command has to be redirected from it.
+    controlAddresses = addresses[1];
 }
 
 let adminAddress = "";
-function pullBody() {
+function makePullBody() {
     const peerAddress = "127.0.0.1:7000";
     const host = { host: "entry-1", incarnation: "1", zone: "vogar", peerAddress, adminAddress };
     return { ...host, revision: 1_000, waitMs: 0, draining: false };
@@ -181,7 +189,7 @@
         http,
         clock,
         random: new SystemRandom(),
-        variables: { SEQUOIAMUX_CONTROL: control },
+        variables: { SEQUOIAMUX_CONTROL: controlAddresses },
         userName: "anna",
         readFile: async path => FILES[path] ?? TEMPLATE,
         readProfiles: async () => undefined,
@@ -194,7 +202,7 @@
 describe("runCli", () => {
     before(async () => {
         await startControlHosts();
-        const listener = await http.serve(LOOPBACK, DEFAULT_HTTP_LIMITS, new EntryAdminServer(admin).handler);
+        const listener = await http.serve(LOOPBACK, DEFAULT_HTTP_LIMITS, new EntryAdminServer(entryAdmin).handler);
         listeners.push(listener);
         adminAddress = formatAddress(listener.address);
         await clock.sleep(2_100);
@@ -220,7 +228,7 @@
             assert.match(show.output, /weight 2, token limit none, default class sheet/);
         });
 
-        it("names the winner of a race, on one line", async () => {
+        it("names the winner of a conflict in one line", async () => {
             const lost = await run("workspace", "limit", "school", "--limit", "5", "--revision", "2");
             assert.equal(lost.code, 1);
             assert.match(
@@ -238,7 +246,7 @@
             assert.equal((await run("config", "read")).output, `${FLEET_DOCUMENT}\n`);
         });
 
-        it("is refused with one line", async () => {
+        it("that is invalid is refused with one line", async () => {
             const { code, error } = await run("config", "apply", "broken.json");
             assert.equal(code, 1);
             assert.match(error, /^sequoiamux: not JSON: .*\n$/);
@@ -254,7 +262,7 @@
             assert.deepEqual(JSON.parse((await run("zone", "list", "--json")).output), []);
         });
 
-        it("that are not known are refused with one line", async () => {
+        it("that are unknown are refused with one line", async () => {
             const { code, error } = await run("zone", "evacuate", "vogra");
             assert.equal(code, 1);
             assert.match(error, /there is no zone vogra/);
@@ -274,21 +282,21 @@
     });
 
     describe("entries", () => {
-        it("are reached at the addresses that the holder knows", async () => {
-            await pull();
+        it("are called at the addresses that the holder lists", async () => {
+            await sendViewPull();
             const queues = await run("queues");
             assert.match(queues.output, /entry-1 +drafting +0 +school +3 +12/);
-            await pull();
+            await sendViewPull();
             assert.equal((await run("host", "drain", "entry-1")).code, 0);
-            assert.deepEqual(admin.calls, ["drain"]);
-            await pull();
+            assert.deepEqual(entryAdmin.calls, ["drain"]);
+            await sendViewPull();
             const missing = await run("explain", "r1");
             assert.match(missing.error, /this entry knows no request r1/);
         });
     });
 
     describe("a wrong command line", () => {
-        it("ends with 2 and one line", async () => {
+        it("leads to exit code 2 and one line", async () => {
             const wrong = [["workspace", "create", "x"], ["nonsense"], ["queues", "--color"], ["key", "grant"]];
             for (const words of wrong) {
                 const { code, error } = await run(...words);
--- a/src/cli/zoneCommands/index.ts
+++ b/src/cli/zoneCommands/index.ts
@@ -1,6 +1,6 @@
-import { CommandDefinition, CommandOptions, CommandTools } from "../commandDefinition/index.js";
+import { CommandContext, CommandDefinition, CommandOptions } from "../commandDefinition/index.js";
 
-/** Commands on availability zones. */
+/** Commands that evacuate, restore and list availability zones. */
 export const zoneCommands: readonly CommandDefinition[] = [
     {
         usage: "zone evacuate <zone>",
@@ -25,21 +25,21 @@
     },
 ];
 
-async function evacuateZone([zone]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const answer = await tools.operatorApi.ask(client => client.evacuateZone.mutate(zone));
+async function evacuateZone([zone]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const answer = await context.operatorApi.ask(client => client.evacuateZone.mutate(zone));
     const how = answer.state === "changed" ? "is evacuated" : "was evacuated already";
-    tools.output.record(answer, [`zone ${zone} ${how}, revision ${answer.revision}`]);
+    context.output.printRecord(answer, [`zone ${zone} ${how}, revision ${answer.revision}`]);
 }
 
-async function restoreZone([zone]: readonly string[], _: CommandOptions, tools: CommandTools): Promise<void> {
-    const answer = await tools.operatorApi.ask(client => client.restoreZone.mutate(zone));
+async function restoreZone([zone]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
+    const answer = await context.operatorApi.ask(client => client.restoreZone.mutate(zone));
     const how = answer.state === "changed" ? "is restored" : "was not evacuated";
-    tools.output.record(answer, [`zone ${zone} ${how}, revision ${answer.revision}`]);
+    context.output.printRecord(answer, [`zone ${zone} ${how}, revision ${answer.revision}`]);
 }
 
-async function listZones(_: readonly string[], _options: CommandOptions, tools: CommandTools): Promise<void> {
-    const zones = await tools.operatorApi.ask(client => client.evacuatedZones.query());
-    tools.output.table(zones, [
+async function listZones(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
+    const zones = await context.operatorApi.ask(client => client.evacuatedZones.query());
+    context.output.printTable(zones, [
         { title: "ZONE", read: ({ zone }) => zone },
         { title: "REVISION", read: ({ revision }) => revision },
     ]);
