--- a/src/cli/entryApi/index.ts
+++ b/src/cli/entryApi/index.ts
@@ -24,7 +24,7 @@
  * Calls the admin procedures of entries, at the addresses that the holder lists.
  *
  * @example
- * const answers = await entries.askAll(client => client.queues.query());
+ * const answers = await entries.callAll(client => client.queues.query());
  */
 export class EntryApi {
     constructor(private readonly operatorApi: OperatorApi, private readonly http: Http) {}
@@ -35,10 +35,12 @@
      * @returns The answers of the entries that answered.
      * @throws CliError when no entry answered.
      */
-    async callAll<Answer>(call: (client: EntryClient) => Promise<Answer>): Promise<readonly EntryAnswer<Answer>[]> {
+    async callAll<Answer>(
+        procedure: (client: EntryClient) => Promise<Answer>,
+    ): Promise<readonly EntryAnswer<Answer>[]> {
         const entries = await this.listEntries();
         const settled = await Promise.allSettled(
-            entries.map(async ({ host, client }) => ({ host, answer: await call(client) })),
+            entries.map(async ({ host, client }) => ({ host, answer: await procedure(client) })),
         );
         const answers = settled.flatMap(result => result.status === "fulfilled" ? [result.value] : []);
         if (answers.length > 0) return answers;
@@ -51,10 +53,10 @@
      *
      * @throws CliError when the host has no live entry or the call fails.
      */
-    async callOne<Answer>(host: string, call: (client: EntryClient) => Promise<Answer>): Promise<Answer> {
+    async callOne<Answer>(host: string, procedure: (client: EntryClient) => Promise<Answer>): Promise<Answer> {
         const entry = (await this.listEntries()).find(each => each.host === host);
         if (!entry) throw new CliError(`no live entry runs on host ${host}`);
-        return call(entry.client).catch((err: Error) => {
+        return procedure(entry.client).catch((err: Error) => {
             throw new CliError(`${host}: ${err.message}`);
         });
     }
--- a/src/cli/operatorApi/index.ts
+++ b/src/cli/operatorApi/index.ts
@@ -44,12 +44,12 @@
      *
      * @throws CliError with the holder's error message, or when no control host answers in time.
      */
-    async ask<Answer>(call: (client: OperatorClient) => Promise<Answer>): Promise<Answer> {
+    async ask<Answer>(procedure: (client: OperatorClient) => Promise<Answer>): Promise<Answer> {
         const { clock } = this.options;
         const deadline = clock.monotonic() + TOTAL_TIMEOUT_MS;
         for (;;) {
             try {
-                return await call(this.connect(this.addresses[this.currentIndex % this.addresses.length]));
+                return await procedure(this.connect(this.addresses[this.currentIndex % this.addresses.length]));
             }
             catch (err) {
                 const next = getNextStep(err);
--- a/src/platform/nodeSettings/index.ts
+++ b/src/platform/nodeSettings/index.ts
@@ -22,8 +22,8 @@
     /** Port on which entries accept connections of the system's other processes. */
     readonly entryPeerPort: number;
     /**
-     * Peer addresses of control processes. The file's `seeds` lists their public addresses; only the IP numbers are taken
-     * from it, together with `controlPeerPort`.
+     * Peer addresses of control processes. The file's `seeds` lists their public addresses, of which only the IP address is
+     * used; the port is `controlPeerPort`.
      */
     readonly seeds: readonly Address[];
     /** Whether this host's control process is one of the seeds. */
@@ -44,7 +44,7 @@
     readonly graceMs: number;
     /** Maximum time from the acknowledgement of a key's withdrawal until every entry refuses the key. */
     readonly revokeMs: number;
-    /** Two holders of a duty must not alternate within this time. */
+    /** Length of the lease on a duty: two holders must not alternate within this time. */
     readonly dutyLeaseMs: number;
     /** Length of a usage window. */
     readonly usageWindowMs: number;
