--- a/src/cli/fleetCommands/index.ts
+++ b/src/cli/fleetCommands/index.ts
@@ -102,8 +102,8 @@
 }
 
 /**
- * Keeps one row per upstream, from the entry that heard of it last: an upstream is listed by each entry that it announced
- * itself to and by the entry that owns its queue.
+ * Keeps one row per upstream, from the entry that received its latest message: an upstream is listed by each entry that
+ * received an announcement of it and by the owner of its queue.
  */
 function keepLatestRows(rows: readonly UpstreamRow[]): UpstreamRow[] {
     const latest = new Map<string, UpstreamRow>();
--- a/src/platform/heartbeat/index.ts
+++ b/src/platform/heartbeat/index.ts
@@ -20,7 +20,7 @@
     born: z.int().min(0).default(0),
     /** Remaining time for which the engine is cold after its start, in milliseconds. */
     coldRemainingMs: z.number().min(0).default(0),
-    /** Sent by model engines only, so its presence tells an engine from another service. */
+    /** Sent by model engines only, so its presence distinguishes them from other services. */
     stage: z.string().optional(),
     /** Whether the platform may reclaim the engine's machine. */
     spot: z.boolean().optional(),
