--- a/src/usage/index.ts
+++ b/src/usage/index.ts
@@ -1,4 +1,7 @@
-/** Usage windows: each batch counted once, figures frozen when a window closes, limits shared out among hosts. */
+/**
+ * Usage accounting by window: usage batches, request starts and token grants. Each batch counts once, a window's figures are frozen
+ * when it closes, and each workspace's token limit is divided among the hosts.
+ */
 export * from "./runStarts/index.js";
 export * from "./sequenceSet/index.js";
 export * from "./spendBook/index.js";
--- a/src/usage/runStarts/index.ts
+++ b/src/usage/runStarts/index.ts
@@ -2,60 +2,63 @@
 import { StartWindow } from "../startMeter/index.js";
 import { StartCounts } from "../startsBook/index.js";
 
-/** One run of an entry: its host and incarnation. */
-export type RunName = string;
+/** Identifies one run of an entry process: its host and incarnation, separated by a space. */
+export type EntryRunKey = string;
 
-/** What a run has counted, window by window. */
+/** Request starts that one run of an entry has counted, by window. */
 export interface RunReport {
-    readonly run: RunName;
+    readonly run: EntryRunKey;
     readonly windows: readonly StartWindow[];
 }
 
-/** Keeps counts of windows that are not closed yet, so that they outlive all processes that have heard them. */
+/**
+ * Writes the counts of windows that are not closed yet to the control log, so that they survive the loss of every process that has
+ * received them.
+ */
 export interface NoteStartsCommand {
     readonly kind: "starts.note";
     readonly runs: readonly RunReport[];
 }
 
-type WindowCounts = Map<number, StartCounts>;
+type CountsByWindow = Map<number, StartCounts>;
 
 /**
- * Started requests by run of an entry and by window. The counts of a run only grow, so that of two the larger is the later, and the same
- * report may be merged twice.
+ * Request starts by run of an entry and by window. The counts of a run only grow, so the larger of two counts is the later one, and
+ * merging a report again changes nothing.
  *
  * @example
  * starts.merge("entry-1 7", [{ window: 353_445_120, counts }]);
  * starts.sum(353_445_120);
  */
 export class RunStarts {
-    private readonly runs = new Map<RunName, WindowCounts>();
+    private readonly runs = new Map<EntryRunKey, CountsByWindow>();
 
     get isEmpty(): boolean {
         return this.runs.size === 0;
     }
 
     /**
-     * Takes in what a run has counted.
+     * Merges the counts that a run has reported.
      *
-     * @returns What of it was not known.
+     * @returns The counts that were higher than the stored ones.
      */
-    merge(run: RunName, windows: readonly StartWindow[]): readonly StartWindow[] {
-        const known = this.runs.get(run) ?? new Map<number, StartCounts>();
-        if (windows.length > 0) this.runs.set(run, known);
+    merge(run: EntryRunKey, windows: readonly StartWindow[]): readonly StartWindow[] {
+        const stored = this.runs.get(run) ?? new Map<number, StartCounts>();
+        if (windows.length > 0) this.runs.set(run, stored);
         return windows.flatMap(({ window, counts }) => {
-            const before = known.get(window) ?? {};
-            const grown = listGrown(before, counts);
-            known.set(window, { ...before, ...grown });
-            return Object.keys(grown).length > 0 ? [{ window, counts: grown }] : [];
+            const previous = stored.get(window) ?? {};
+            const increased = selectIncreased(previous, counts);
+            stored.set(window, { ...previous, ...increased });
+            return Object.keys(increased).length > 0 ? [{ window, counts: increased }] : [];
         });
     }
 
-    /** Takes in what others have merged. */
+    /** Merges the reports of several runs. */
     mergeAll(reports: readonly RunReport[]): void {
         for (const { run, windows } of reports) this.merge(run, windows);
     }
 
-    /** All that is known, run by run. */
+    /** Lists the counts of every run. */
     list(): readonly RunReport[] {
         return [...this.runs].map(([run, windows]) => ({
             run,
@@ -63,34 +66,34 @@
         }));
     }
 
-    /** What all runs together have counted in a window. */
+    /** Returns the request starts in a window, summed over all runs. */
     sum(window: number): StartCounts {
         const sums: Record<WorkspaceId, number> = {};
         for (const windows of this.runs.values()) {
-            for (const [name, count] of Object.entries(windows.get(window) ?? {})) {
-                const workspace = name as WorkspaceId;
+            for (const [key, count] of Object.entries(windows.get(window) ?? {})) {
+                const workspace = key as WorkspaceId;
                 sums[workspace] = (sums[workspace] ?? 0) + count;
             }
         }
         return sums;
     }
 
-    /** The first window that any run has counted in; undefined when there is none. */
+    /** Returns the earliest window that has counts; undefined when there are none. */
     firstWindow(): number | undefined {
         const windows = [...this.runs.values()].flatMap(known => [...known.keys()]);
         return windows.length === 0 ? undefined : Math.min(...windows);
     }
 
-    /** Forgets windows before this one. */
+    /** Removes the windows before this one. */
     forgetBefore(oldest: number): void {
         this.forget(window => window < oldest);
     }
 
-    /** Forgets the windows that are named. */
-    forget(isForgotten: (window: number) => boolean): void {
+    /** Removes the windows for which the predicate holds. */
+    forget(isDropped: (window: number) => boolean): void {
         for (const [run, windows] of this.runs) {
             for (const window of windows.keys()) {
-                if (isForgotten(window)) windows.delete(window);
+                if (isDropped(window)) windows.delete(window);
             }
             if (windows.size === 0) this.runs.delete(run);
         }
@@ -101,7 +104,7 @@
     }
 }
 
-function listGrown(before: StartCounts, counts: StartCounts): StartCounts {
-    const grown = Object.entries(counts).filter(([name, count]) => count > (before[name as WorkspaceId] ?? 0));
-    return Object.fromEntries(grown) as StartCounts;
+function selectIncreased(previous: StartCounts, counts: StartCounts): StartCounts {
+    const increased = Object.entries(counts).filter(([name, count]) => count > (previous[name as WorkspaceId] ?? 0));
+    return Object.fromEntries(increased) as StartCounts;
 }
--- a/src/usage/runStarts/test.ts
+++ b/src/usage/runStarts/test.ts
@@ -8,18 +8,18 @@
     return parts as StartCounts;
 }
 
-describe("RunStarts", () => {
-    it("gives what it did not know, and sums over runs", () => {
+describe("StartCountsByRun", () => {
+    it("returns the counts that increased, and sums over runs", () => {
         const starts = new RunStarts();
         starts.merge("a 1", [{ window: 5, counts: counts({ butcher: 3, hotel: 1 }) }]);
-        const news = starts.merge("a 1", [{ window: 5, counts: counts({ butcher: 4, hotel: 1 }) }]);
-        assert.deepEqual(news, [{ window: 5, counts: { butcher: 4 } }]);
+        const increased = starts.merge("a 1", [{ window: 5, counts: counts({ butcher: 4, hotel: 1 }) }]);
+        assert.deepEqual(increased, [{ window: 5, counts: { butcher: 4 } }]);
         starts.merge("b 1", [{ window: 5, counts: counts({ butcher: 2 }) }]);
         assert.deepEqual(starts.sum(5), { butcher: 6, hotel: 1 });
         assert.deepEqual(starts.sum(6), {});
     });
 
-    it("comes to the same counts whatever is merged twice, late or in parts", () => {
+    it("converges on the same counts when reports are merged repeatedly or out of order", () => {
         const report = fc.record({
             run: fc.constantFrom("a 1", "b 1"),
             window: fc.integer({ min: 4, max: 6 }),
@@ -43,7 +43,7 @@
         }));
     });
 
-    it("forgets closed windows", () => {
+    it("drops windows before the given one", () => {
         const starts = new RunStarts();
         starts.merge("a 1", [{ window: 4, counts: counts({ butcher: 3 }) }]);
         starts.merge("b 1", [{ window: 6, counts: counts({ butcher: 3 }) }]);
--- a/src/usage/sequenceSet/index.ts
+++ b/src/usage/sequenceSet/index.ts
@@ -1,15 +1,15 @@
-/** A run of numbers that were seen: from `first` to `last`, both included. */
+/** A contiguous range of sequence numbers, both ends included. */
 export interface SequenceRange {
     readonly first: number;
     readonly last: number;
 }
 
 /**
- * Which numbers of 1, 2, 3 … were seen, in any order. Costs one range for each gap, so a stream without gaps costs the same
- * however long it runs.
+ * Set of sequence numbers (1, 2, 3 …), added in any order and stored as contiguous ranges. Memory grows with the number of gaps: a
+ * stream without gaps needs one range, however long it is.
  *
  * @example
- * if (!seen.add(batch.sequence)) return; // counted before
+ * if (!seen.add(batch.sequence)) return; // duplicate
  */
 export class SequenceSet {
     private ranges: SequenceRange[];
@@ -18,7 +18,7 @@
         this.ranges = [...ranges];
     }
 
-    /** Takes in a number. False when it was there. */
+    /** Adds a number. Returns false when the set already had it. */
     add(sequence: number): boolean {
         const at = this.ranges.findIndex(range => sequence <= range.last + 1);
         if (at < 0) {
@@ -27,7 +27,7 @@
         }
         const range = this.ranges[at];
         if (sequence >= range.first && sequence <= range.last) return false;
-        if (sequence === range.last + 1) this.extendUp(at, sequence);
+        if (sequence === range.last + 1) this.extendRangeUp(at, sequence);
         else if (sequence === range.first - 1) this.ranges[at] = { first: sequence, last: range.last };
         else this.ranges.splice(at, 0, { first: sequence, last: sequence });
         return true;
@@ -37,7 +37,7 @@
         return [...this.ranges];
     }
 
-    private extendUp(at: number, sequence: number): void {
+    private extendRangeUp(at: number, sequence: number): void {
         const { first } = this.ranges[at];
         const next = this.ranges[at + 1];
         if (next?.first === sequence + 1) this.ranges.splice(at, 2, { first, last: next.last });
--- a/src/usage/sequenceSet/test.ts
+++ b/src/usage/sequenceSet/test.ts
@@ -4,7 +4,7 @@
 import { SequenceSet } from "./index.js";
 
 describe("SequenceSet", () => {
-    it("knows what it has seen, in any order, with one range for each run of numbers", () => {
+    it("detects duplicates in any order, with one range for each contiguous run of numbers", () => {
         fc.assert(
             fc.property(fc.array(fc.integer({ min: 1, max: 30 })), numbers => {
                 let set = new SequenceSet();
--- a/src/usage/spendBook/index.ts
+++ b/src/usage/spendBook/index.ts
@@ -2,38 +2,41 @@
 import type { WindowStart, WorkspaceId } from "../../ids/index.js";
 import type { ReserveCommand, ReserveResult } from "../usageCommands/index.js";
 
-/** Answers remembered for each run of an entry, for resends, which come within seconds. */
-const ANSWERS_KEPT = 128;
-/** A run of an entry that has asked for nothing for this long is forgotten, in milliseconds. */
+/** Results kept for each run of an entry, to answer resends, which arrive within seconds. */
+const MAX_ANSWERS_PER_RUN = 128;
+/** A run of an entry is dropped when its last reservation is this old. */
 const RUN_RETENTION_MS = 3_600_000;
-/** Windows further than this from the proposer's wall time are refused, in milliseconds. */
-const WINDOW_REACH_MS = 32 * 24 * 3_600_000;
+/** Reservations in windows further than this from the proposer's wall time are granted nothing. */
+const MAX_WINDOW_DISTANCE_MS = 32 * 24 * 3_600_000;
 
+/** The result of one reservation, kept for resends. */
 interface RememberedGrant {
     readonly sequence: number;
     readonly granted: number;
 }
 
-/** What one run of an entry asked for, as a snapshot keeps it. */
+/** The reservations of one run of an entry, as stored in a snapshot. */
 export interface SpendRun {
     readonly host: string;
     readonly incarnation: string;
-    /** The most recent ones, in the order they were applied. */
+    /** The most recent results, in the order in which they were applied. */
     readonly grants: readonly RememberedGrant[];
-    /** The highest number whose answer is no longer remembered. */
+    /** Highest sequence number whose result is no longer kept. */
     readonly forgottenTo: number;
+    /** Wall time of the last reservation, in milliseconds since the epoch. */
     readonly at: number;
 }
 
-/** Tokens of one workspace given out in one window. */
+/** Tokens granted to one workspace in one window, over all hosts. */
 export interface Reservation {
     readonly window: WindowStart;
     readonly workspace: WorkspaceId;
     readonly tokens: number;
 }
 
+/** State of the granted tokens in a snapshot of the control log. */
 export interface SpendSnapshot {
-    /** Nothing is granted in windows up to and with this one. */
+    /** Start of the last closed window: nothing is granted in it or in earlier ones. */
     readonly closedTo: number;
     readonly runs: readonly SpendRun[];
     readonly reservations: readonly Reservation[];
@@ -42,126 +45,126 @@
 interface RunState {
     readonly host: string;
     readonly incarnation: string;
-    /** Tokens granted by sequence, in the order they were applied. */
+    /** Tokens granted, by sequence number, in the order in which they were applied. */
     readonly grants: Map<number, number>;
     forgottenTo: number;
     at: number;
 }
 
 /**
- * Shares out each workspace's limit among the hosts, so that the sum over hosts never passes it. Tokens that a lost host
- * had taken stay taken until the window ends: too little is spent rather than too much.
+ * Divides each workspace's token limit for a window among the hosts, so that the sum of their grants never exceeds it. Tokens granted
+ * to a host that is lost stay granted until the window ends: spending too little is preferred to spending too much.
  *
  * @example
- * const { granted } = book.reserve(command, limit, context);
+ * const { granted } = ledger.reserve(command, limit, context);
  */
 export class SpendBook {
     private readonly runs = new Map<string, RunState>();
-    private readonly windows = new Map<WindowStart, Map<WorkspaceId, number>>();
+    private readonly grantedByWindow = new Map<WindowStart, Map<WorkspaceId, number>>();
     private closedTo = -1;
 
     /**
-     * Takes tokens out of a limit.
+     * Grants tokens of a workspace's limit to a host.
      *
-     * @param command - Who asks for how many.
-     * @param limit - The workspace's limit for a window, in tokens; undefined for none.
+     * @param command - The host's request.
+     * @param limit - The workspace's limit for a window, in tokens; undefined for no limit.
      */
     reserve(command: ReserveCommand, limit: number | undefined, context: ApplyContext): ReserveResult {
         const run = this.findRun(command, context);
-        const earlier = run.grants.get(command.sequence);
-        if (earlier !== undefined) return { granted: earlier };
-        // The answer to so old a question is gone. Granting nothing can't pass the limit; granting again could.
+        const earlierGrant = run.grants.get(command.sequence);
+        if (earlierGrant !== undefined) return { granted: earlierGrant };
+        // The result of such an old request is no longer kept. Granting again could exceed the limit; granting nothing can't.
         if (command.sequence <= run.forgottenTo) return { granted: 0 };
-        const granted = this.take(command, limit, context);
+        const granted = this.grantTokens(command, limit, context);
         run.grants.set(command.sequence, granted);
-        this.touch(run, context);
+        this.recordUse(run, context);
         return { granted };
     }
 
-    /** How many tokens are given out. */
+    /** Returns the tokens granted to a workspace in a window, over all hosts. */
     reserved(window: WindowStart, workspace: WorkspaceId): number {
-        return this.windows.get(window)?.get(workspace) ?? 0;
+        return this.grantedByWindow.get(window)?.get(workspace) ?? 0;
     }
 
     /**
-     * Ends windows up to and with this one, and forgets what was given out in them. Nothing more is granted there: with the sums
-     * gone, a question that comes late would get the whole limit once more.
+     * Closes the windows up to and including this one, and drops their sums. Nothing more is granted in them: without the sums, a late
+     * request would get the whole limit again.
      */
     closeWindows(upTo: WindowStart): void {
         this.closedTo = Math.max(this.closedTo, upTo);
-        for (const window of this.windows.keys()) {
-            if (window <= upTo) this.windows.delete(window);
+        for (const window of this.grantedByWindow.keys()) {
+            if (window <= upTo) this.grantedByWindow.delete(window);
         }
     }
 
     snapshot(): SpendSnapshot {
-        const reservations = [...this.windows].flatMap(([window, spent]) =>
-            [...spent].map(([workspace, tokens]) => ({ window, workspace, tokens }))
+        const reservations = [...this.grantedByWindow].flatMap(([window, byWorkspace]) =>
+            [...byWorkspace].map(([workspace, tokens]) => ({ window, workspace, tokens }))
         );
-        return { closedTo: this.closedTo, runs: [...this.runs.values()].map(describeRun), reservations };
+        return { closedTo: this.closedTo, runs: [...this.runs.values()].map(toSpendRun), reservations };
     }
 
     restore(snapshot: SpendSnapshot): void {
         this.runs.clear();
-        this.windows.clear();
+        this.grantedByWindow.clear();
         this.closedTo = snapshot.closedTo ?? -1;
         for (const run of snapshot.runs) {
             const grants = new Map(run.grants.map(({ sequence, granted }) => [sequence, granted]));
-            this.runs.set(nameRun(run), { ...run, grants });
+            this.runs.set(runKey(run), { ...run, grants });
         }
         for (const { window, workspace, tokens } of snapshot.reservations) {
-            this.spentIn(window).set(workspace, tokens);
+            this.grantedInWindow(window).set(workspace, tokens);
         }
     }
 
-    private take(
+    private grantTokens(
         { workspace, window, tokens }: ReserveCommand,
         limit: number | undefined,
         context: ApplyContext,
     ): number {
-        if (window <= this.closedTo || Math.abs(window - context.proposedAt) > WINDOW_REACH_MS) return 0;
-        const spent = this.spentIn(window);
-        const taken = spent.get(workspace) ?? 0;
-        const granted = limit === undefined ? tokens : Math.max(0, Math.min(tokens, limit - taken));
-        if (granted > 0) spent.set(workspace, taken + granted);
+        if (window <= this.closedTo || Math.abs(window - context.proposedAt) > MAX_WINDOW_DISTANCE_MS) return 0;
+        const byWorkspace = this.grantedInWindow(window);
+        const alreadyGranted = byWorkspace.get(workspace) ?? 0;
+        const granted = limit === undefined ? tokens : Math.max(0, Math.min(tokens, limit - alreadyGranted));
+        if (granted > 0) byWorkspace.set(workspace, alreadyGranted + granted);
         return granted;
     }
 
-    private spentIn(window: WindowStart): Map<WorkspaceId, number> {
-        const spent = this.windows.get(window) ?? new Map<WorkspaceId, number>();
-        this.windows.set(window, spent);
-        return spent;
+    private grantedInWindow(window: WindowStart): Map<WorkspaceId, number> {
+        const byWorkspace = this.grantedByWindow.get(window) ?? new Map<WorkspaceId, number>();
+        this.grantedByWindow.set(window, byWorkspace);
+        return byWorkspace;
     }
 
     private findRun({ host, incarnation }: ReserveCommand, context: ApplyContext): RunState {
-        const known = this.runs.get(nameRun({ host, incarnation }));
+        const known = this.runs.get(runKey({ host, incarnation }));
         return known ?? { host, incarnation, grants: new Map(), forgottenTo: 0, at: context.proposedAt };
     }
 
-    /** Lets go of the run's oldest answers, and of runs that have asked for nothing for long. */
-    private touch(run: RunState, context: ApplyContext): void {
+    /** Marks a run as the most recently used, and drops its oldest results and the runs past their retention. */
+    private recordUse(run: RunState, context: ApplyContext): void {
         for (const sequence of run.grants.keys()) {
-            if (run.grants.size <= ANSWERS_KEPT) break;
+            if (run.grants.size <= MAX_ANSWERS_PER_RUN) break;
             run.grants.delete(sequence);
             run.forgottenTo = Math.max(run.forgottenTo, sequence);
         }
         run.at = context.proposedAt;
-        const name = nameRun(run);
-        // Set again, so that the map stays in the order of last use.
-        this.runs.delete(name);
-        this.runs.set(name, run);
-        for (const [oldest, { at }] of this.runs) {
+        const key = runKey(run);
+        // Deleted and set again to keep the map in the order of last use.
+        this.runs.delete(key);
+        this.runs.set(key, run);
+        for (const [oldestKey, { at }] of this.runs) {
             if (context.proposedAt - at <= RUN_RETENTION_MS) return;
-            this.runs.delete(oldest);
+            this.runs.delete(oldestKey);
         }
     }
 }
 
-function describeRun({ host, incarnation, grants, forgottenTo, at }: RunState): SpendRun {
+function toSpendRun({ host, incarnation, grants, forgottenTo, at }: RunState): SpendRun {
     const remembered = [...grants].map(([sequence, granted]) => ({ sequence, granted }));
     return { host, incarnation, grants: remembered, forgottenTo, at };
 }
 
-function nameRun({ host, incarnation }: { host: string; incarnation: string; }): string {
+function runKey({ host, incarnation }: { host: string; incarnation: string; }): string {
     return `${host} ${incarnation}`;
 }
--- a/src/usage/spendBook/test.ts
+++ b/src/usage/spendBook/test.ts
@@ -9,34 +9,34 @@
 const WINDOW = 0 as WindowStart;
 const CONTEXT = { index: 1 as LogIndex, proposedAt: 5 };
 
-function ask(host: string, sequence: number, tokens: number): ReserveCommand {
-    const who = { host, incarnation: "1", sequence };
-    return { kind: "spend.reserve", workspace: WORKSPACE, window: WINDOW, ...who, tokens };
+function makeReserve(host: string, sequence: number, tokens: number): ReserveCommand {
+    const requester = { host, incarnation: "1", sequence };
+    return { kind: "spend.reserve", workspace: WORKSPACE, window: WINDOW, ...requester, tokens };
 }
 
-describe("SpendBook", () => {
+describe("SpendLedger", () => {
     describe("reserve", () => {
-        it("gives a resend its first answer, and never more than the limit over all hosts", () => {
-            // A workspace with a limit of 100 spends 140: two hosts asked at once, and one asked again after a lost
-            // answer. Cause: each host looks at the limit by itself, and the resend is taken for a new question.
+        it("answers a resend with the first result, and never grants more than the limit over all hosts", () => {
+            // Prevents overspending: a workspace with a limit of 100 spends 140 when two hosts ask at the same time and one of them
+            // resends after a lost answer, if each host checks the limit on its own and the resend counts as a new request.
             const steps = fc.array(fc.tuple(
                 fc.constantFrom("a", "b", "c"),
                 fc.integer({ min: 1, max: 8 }),
                 fc.integer({ min: 0, max: 60 }),
                 fc.boolean(),
             ));
-            const check = (asks: [string, number, number, boolean][]): void => {
-                let book = new SpendBook();
+            const check = (requests: [string, number, number, boolean][]): void => {
+                let ledger = new SpendBook();
                 const granted = new Map<string, number>();
-                for (const [host, sequence, tokens, restarts] of asks) {
-                    const answer = book.reserve(ask(host, sequence, tokens), 100, CONTEXT).granted;
+                for (const [host, sequence, tokens, restarts] of requests) {
+                    const answer = ledger.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
                     const name = `${host} ${sequence}`;
                     assert.equal(granted.get(name) ?? answer, answer);
                     granted.set(name, answer);
                     if (restarts) {
-                        const snapshot = book.snapshot();
-                        book = new SpendBook();
-                        book.restore(snapshot);
+                        const snapshot = ledger.snapshot();
+                        ledger = new SpendBook();
+                        ledger.restore(snapshot);
                     }
                 }
                 assert.ok([...granted.values()].reduce((sum, each) => sum + each, 0) <= 100);
@@ -45,24 +45,24 @@
         });
 
         it("grants nothing in a window that is closed", () => {
-            // A workspace spends its limit twice in one window. The window was closed while an entry still worked in it, the
-            // sums were dropped, and the entry's next question got the whole limit again.
-            let book = new SpendBook();
-            assert.equal(book.reserve(ask("a", 1, 100), 100, CONTEXT).granted, 100);
-            book.closeWindows(WINDOW);
-            const snapshot = book.snapshot();
-            book = new SpendBook();
-            book.restore(snapshot);
-            assert.equal(book.reserve(ask("a", 2, 100), 100, CONTEXT).granted, 0);
+            // Prevents a limit spent twice in one window: the window is closed while an entry still uses it, the sums are
+            // dropped, and the entry's next request would get the whole limit again.
+            let ledger = new SpendBook();
+            assert.equal(ledger.reserve(makeReserve("a", 1, 100), 100, CONTEXT).granted, 100);
+            ledger.closeWindows(WINDOW);
+            const snapshot = ledger.snapshot();
+            ledger = new SpendBook();
+            ledger.restore(snapshot);
+            assert.equal(ledger.reserve(makeReserve("a", 2, 100), 100, CONTEXT).granted, 0);
         });
 
-        it("grants nothing to a question so old that its answer is forgotten", () => {
-            const book = new SpendBook();
+        it("grants nothing to a request so old that its result is no longer kept", () => {
+            const ledger = new SpendBook();
             for (let sequence = 1; sequence <= 2_000; sequence++) {
-                book.reserve(ask("a", sequence, 1), undefined, CONTEXT);
+                ledger.reserve(makeReserve("a", sequence, 1), undefined, CONTEXT);
             }
-            assert.equal(book.reserve(ask("a", 1, 1), undefined, CONTEXT).granted, 0);
-            assert.equal(book.reserved(WINDOW, WORKSPACE), 2_000);
+            assert.equal(ledger.reserve(makeReserve("a", 1, 1), undefined, CONTEXT).granted, 0);
+            assert.equal(ledger.reserved(WINDOW, WORKSPACE), 2_000);
         });
     });
 });
--- a/src/usage/startMeter/index.ts
+++ b/src/usage/startMeter/index.ts
@@ -1,60 +1,65 @@
 import { WorkspaceId } from "../../ids/index.js";
 import { StartCounts } from "../startsBook/index.js";
 
-/** Windows older than this, in milliseconds, are closed everywhere, and are forgotten. */
-const KEPT_MS = 60_000;
+/** Windows older than this are closed on every host and are dropped. */
+const RETENTION_MS = 60_000;
 
-/** What one entry has counted in one window so far. */
+/** Request starts that one entry has counted in one window so far. */
 export interface StartWindow {
+    /** The window's number: true time divided by the window length, rounded down. */
     readonly window: number;
     readonly counts: StartCounts;
 }
 
 /**
- * Counts the requests that began to run through one entry, by window of true time. The counts of a window only grow, so that a
- * report which is sent again or comes late does no harm.
+ * Counts the requests that started to run through one entry, by window of true time. The counts of a window only grow, so a report
+ * that is resent or late does no harm.
  *
  * @example
  * meter.note("butcher" as WorkspaceId, trueTime.now());
  */
 export class StartMeter {
     private readonly windows = new Map<number, Map<WorkspaceId, number>>();
-    /** The workspaces counted since news was last taken, by window. */
-    private readonly news = new Map<number, Set<WorkspaceId>>();
+    /** Workspaces whose counts changed since the last `takeNews`, by window. */
+    private readonly changed = new Map<number, Set<WorkspaceId>>();
     private readonly listeners: (() => void)[] = [];
 
     /** @param windowMs - A window's length, in milliseconds. */
     constructor(private readonly windowMs: number) {}
 
-    /** @param at - True time at which the request began to run, in milliseconds since the epoch. */
+    /**
+     * Counts a request start.
+     *
+     * @param at - True time at which the request started to run, in milliseconds since the epoch.
+     */
     note(workspace: WorkspaceId, at: number): void {
         const window = Math.floor(at / this.windowMs);
         const counts = this.windows.get(window) ?? new Map<WorkspaceId, number>();
         counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
         this.windows.set(window, counts);
-        const news = this.news.get(window) ?? new Set<WorkspaceId>();
-        this.news.set(window, news.add(workspace));
+        const changed = this.changed.get(window) ?? new Set<WorkspaceId>();
+        this.changed.set(window, changed.add(workspace));
         for (const listener of this.listeners) listener();
     }
 
-    /** Calls back after each request counted. */
+    /** Registers a listener that is called after each request start counted. */
     onNote(listener: () => void): void {
         this.listeners.push(listener);
     }
 
-    /** The counts that have changed since the last time, once. */
+    /** Returns the counts that changed since the previous call. */
     takeNews(): readonly StartWindow[] {
-        const news = [...this.news].map(([window, workspaces]) => {
+        const changes = [...this.changed].map(([window, workspaces]) => {
             const counts = [...workspaces].map(workspace => [workspace, this.windows.get(window)?.get(workspace) ?? 0]);
             return { window, counts: Object.fromEntries(counts) as StartCounts };
         });
-        this.news.clear();
-        return news;
+        this.changed.clear();
+        return changes;
     }
 
-    /** The windows of the last minute. */
+    /** Returns the windows of the last minute, and drops older ones. */
     list(now: number): readonly StartWindow[] {
-        const oldest = Math.floor((now - KEPT_MS) / this.windowMs);
+        const oldest = Math.floor((now - RETENTION_MS) / this.windowMs);
         for (const window of this.windows.keys()) {
             if (window < oldest) this.windows.delete(window);
         }
--- a/src/usage/startMeter/test.ts
+++ b/src/usage/startMeter/test.ts
@@ -15,20 +15,20 @@
         ]);
     });
 
-    it("gives what has changed once, and says that there is something", () => {
+    it("returns each change once, and notifies its listeners", () => {
         const meter = new StartMeter(5_000);
-        let noted = 0;
-        meter.onNote(() => noted++);
+        let notified = 0;
+        meter.onNote(() => notified++);
         meter.note(BUTCHER, 10_000);
         meter.note("hotel" as WorkspaceId, 10_000);
         assert.deepEqual(meter.takeNews(), [{ window: 2, counts: { butcher: 1, hotel: 1 } }]);
         meter.note(BUTCHER, 11_000);
         assert.deepEqual(meter.takeNews(), [{ window: 2, counts: { butcher: 2 } }]);
         assert.deepEqual(meter.takeNews(), []);
-        assert.equal(noted, 3);
+        assert.equal(notified, 3);
     });
 
-    it("forgets windows of more than a minute ago", () => {
+    it("drops windows older than a minute", () => {
         const meter = new StartMeter(5_000);
         meter.note(BUTCHER, 10_000);
         assert.deepEqual(meter.list(80_000), []);
--- a/src/usage/startsBook/index.ts
+++ b/src/usage/startsBook/index.ts
@@ -1,64 +1,68 @@
 import { WorkspaceId } from "../../ids/index.js";
 
-/** How many windows that were reported are remembered, so that none of them is closed twice. */
-const REPORTED_KEPT = 1_000;
+/** Reported windows kept, so that none of them is closed twice. */
+const MAX_REPORTED_COUNT = 1_000;
 
-/** How many requests of each workspace began to run. */
+/** Number of requests that started to run, by workspace. */
 export type StartCounts = Readonly<Record<WorkspaceId, number>>;
 
-/** Freezes a window's counts. */
+/** Closes a window: its counts never change after this log entry. */
 export interface CloseStartsCommand {
     readonly kind: "starts.close";
-    /** The window's number: window k begins k window lengths after the start of 1970. */
+    /** The window's number: window k begins k window lengths after the epoch. */
     readonly window: number;
     readonly counts: StartCounts;
 }
 
-/** The platform has accepted a window's counts. */
+/** Records that the platform has accepted a window's counts. */
 export interface StartsReportedCommand {
     readonly kind: "starts.reported";
     readonly window: number;
 }
 
-/** A window whose counts never change again. */
+/** A closed window, whose counts never change again. */
 export interface ClosedStarts {
     readonly window: number;
     readonly counts: StartCounts;
     readonly reported: boolean;
 }
 
-/** The closed windows, for a snapshot of the log. */
+/** The closed windows, as stored in a snapshot of the control log. */
 export type StartsSnapshot = readonly ClosedStarts[];
 
 /**
- * The windows of started requests, as the control log keeps them.
+ * The closed windows of request starts, as state of the control log.
  *
- * Guards against a window reported with two figures: a holder that is lost between the close and the report leaves its counts in the
- * log, and its successor reports those, whatever it would have counted itself. Of two closes the first holds.
+ * Prevents a window from being reported with two different figures: when a holder is lost between the close and the report, its counts
+ * are in the log, and its successor reports those instead of its own. Of two closes of a window the first one stands.
  *
  * @example
- * book.close({ kind: "starts.close", window: 353_445_120, counts });
+ * ledger.close({ kind: "starts.close", window: 353_445_120, counts });
  */
 export class StartsBook {
     private windows = new Map<number, ClosedStarts>();
 
-    /** The highest window closed; undefined before the first. */
+    /** Highest closed window; undefined before the first close. */
     get lastClosed(): number | undefined {
         return this.windows.size === 0 ? undefined : Math.max(...this.windows.keys());
     }
 
-    /** Whether the counts of a window can't change any more. */
+    /** Whether the counts of a window are final. */
     isClosed(window: number): boolean {
         return window <= (this.lastClosed ?? Number.NEGATIVE_INFINITY);
     }
 
-    /** @returns The counts that hold for the window. */
+    /**
+     * Closes a window; a window that is closed already stays as it is.
+     *
+     * @returns The window with its final counts.
+     */
     close({ window, counts }: CloseStartsCommand): ClosedStarts {
         const known = this.windows.get(window);
         if (known) return known;
         const closed = { window, counts, reported: false };
         this.windows.set(window, closed);
-        this.forgetOldest();
+        this.dropOldestReported();
         return closed;
     }
 
@@ -67,10 +71,10 @@
         if (known) this.windows.set(window, { ...known, reported: true });
     }
 
-    /** The closed windows that the platform has not accepted, the oldest first. */
+    /** Lists the closed windows that the platform has not accepted, oldest first. */
     listUnreported(): readonly ClosedStarts[] {
-        const open = [...this.windows.values()].filter(({ reported }) => !reported);
-        return open.sort((a, b) => a.window - b.window);
+        const unreported = [...this.windows.values()].filter(({ reported }) => !reported);
+        return unreported.sort((a, b) => a.window - b.window);
     }
 
     snapshot(): StartsSnapshot {
@@ -81,9 +85,9 @@
         this.windows = new Map(snapshot.map(closed => [closed.window, closed]));
     }
 
-    private forgetOldest(): void {
+    private dropOldestReported(): void {
         const reported = [...this.windows.values()].filter(closed => closed.reported);
-        if (reported.length <= REPORTED_KEPT) return;
+        if (reported.length <= MAX_REPORTED_COUNT) return;
         this.windows.delete(Math.min(...reported.map(({ window }) => window)));
     }
 }
--- a/src/usage/usageBook/index.ts
+++ b/src/usage/usageBook/index.ts
@@ -4,14 +4,14 @@
 import { SequenceRange, SequenceSet } from "../sequenceSet/index.js";
 import type { UsageBatchCommand, UsageSum } from "../usageCommands/index.js";
 
-/** How many reported windows keep their lines for operators to read. */
-const REPORTED_KEPT = 8;
-/** How many reported windows are listed, with totals alone. */
-const REPORTED_LISTED = 500;
-/** A run of an entry that has sent nothing for this long is forgotten, in milliseconds. */
+/** Reported windows that keep their lines, for operators to read. */
+const MAX_DETAILED_REPORTED_COUNT = 8;
+/** Reported windows that are listed, the older ones without their lines. */
+const MAX_LISTED_REPORTED_COUNT = 500;
+/** A run of an entry is dropped when its last batch is this old. */
 const RUN_RETENTION_MS = 7 * 24 * 3_600_000;
 
-/** Closes a window: its figures never change after this entry. */
+/** Closes a window: its figures never change after this log entry. */
 export interface CloseWindowCommand {
     readonly kind: "usage.close";
     readonly window: WindowStart;
@@ -19,27 +19,27 @@
     readonly windowMs: number;
 }
 
-/** The platform has accepted a window's report. */
+/** Records that the platform has accepted a window's report. */
 export interface ReportedCommand {
     readonly kind: "usage.reported";
     readonly reportId: ReportId;
 }
 
-/** Late usage that was counted in a later window. */
+/** Usage that arrived after its window had closed and was counted in a later one. */
 export interface Adjustment {
-    /** The closed window in which it was used. */
+    /** The closed window to which the usage belongs. */
     readonly of: WindowStart;
     readonly line: UsageLine;
 }
 
-/** A window that still takes usage. */
+/** A window that still accepts usage. */
 export interface OpenWindow {
     readonly window: WindowStart;
     readonly lines: readonly UsageLine[];
     readonly adjustments: readonly Adjustment[];
 }
 
-/** A closed window. `lines` has the adjustments counted in. */
+/** A closed window. Its `lines` include the adjustments. */
 export interface ClosedWindow extends OpenWindow {
     readonly windowMs: number;
     readonly reportId: ReportId;
@@ -47,20 +47,24 @@
     readonly reportedAt?: number;
 }
 
-/** Whether a batch counted. */
+/** Whether a batch was counted; false for a duplicate. */
 export interface BatchResult {
     readonly counted: boolean;
 }
 
+/** One run of an entry, as stored in a snapshot. */
 interface UsageRun {
     readonly host: string;
     readonly incarnation: string;
+    /** Sequence numbers of the batches received. */
     readonly seen: readonly SequenceRange[];
+    /** Wall time of the last batch, in milliseconds since the epoch. */
     readonly at: number;
 }
 
+/** State of the usage windows in a snapshot of the control log. */
 export interface UsageSnapshot {
-    /** Usage of windows that start before this is late. */
+    /** Usage of windows that start before this time is late. */
     readonly openFrom: number;
     readonly open: readonly OpenWindow[];
     readonly closed: readonly ClosedWindow[];
@@ -80,14 +84,14 @@
 }
 
 /**
- * What was used in each window.
+ * Usage by window, as state of the control log.
  *
- * Guards against usage billed twice or twice differently: a batch sent again after a lost answer, or through a new holder, is known
- * by its (host, incarnation, sequence) and dropped; and a closed window's figures are kept as they were, so that
- * whoever reports it says the same.
+ * Prevents usage from being billed twice or with two different figures: a batch resent after a lost answer, or through a new holder,
+ * is recognised by its (host, incarnation, sequence) and dropped, and a closed window's figures are stored, so that every holder
+ * reports the same ones.
  *
  * @example
- * book.count(batch, context);
+ * ledger.count(batch, context);
  */
 export class UsageBook {
     private readonly open = new Map<WindowStart, WindowState>();
@@ -95,9 +99,9 @@
     private readonly runs = new Map<string, RunState>();
     private openFrom = 0;
 
-    /** Adds a batch's sums, once. */
+    /** Adds a batch's sums unless the batch was counted before. */
     count(batch: UsageBatchCommand, context: ApplyContext): BatchResult {
-        if (!this.noteBatch(batch, context)) return { counted: false };
+        if (!this.recordBatch(batch, context)) return { counted: false };
         for (const sum of batch.sums) this.addSum(sum);
         return { counted: true };
     }
@@ -110,7 +114,7 @@
         this.openFrom = window + windowMs;
     }
 
-    /** Notes that the platform has a report. */
+    /** Records that the platform has accepted a window's report. */
     markReported({ reportId }: ReportedCommand, context: ApplyContext): void {
         const closed = this.closed.get(reportId);
         if (!closed || closed.reportedAt !== undefined) return;
@@ -119,22 +123,22 @@
         this.trimReported();
     }
 
-    /** The starts of windows that take usage, the oldest first. */
+    /** Lists the starts of the open windows, oldest first. */
     listOpenStarts(): readonly WindowStart[] {
         return [...this.open.keys()].sort((a, b) => a - b);
     }
 
-    /** Windows that take usage, the oldest first. */
+    /** Lists the open windows, oldest first. */
     listOpen(): readonly OpenWindow[] {
-        return this.listOpenStarts().map(window => this.viewOpen(window));
+        return this.listOpenStarts().map(window => this.describeOpen(window));
     }
 
-    /** Closed windows, reported or not, the oldest first. */
+    /** Lists the closed windows, reported or not, oldest first. */
     listClosed(): readonly ClosedWindow[] {
         return [...this.closed.values()].sort((a, b) => a.window - b.window);
     }
 
-    /** Closed windows that the platform has not confirmed, the oldest first. */
+    /** Lists the closed windows whose report the platform has not accepted, oldest first. */
     listUnreported(): readonly ClosedWindow[] {
         return this.listClosed().filter(closed => closed.reportedAt === undefined);
     }
@@ -153,9 +157,9 @@
         for (const map of [this.open, this.closed, this.runs]) map.clear();
         this.openFrom = snapshot.openFrom;
         for (const { window, lines, adjustments } of snapshot.open) {
-            const state = this.stateOf(window);
-            for (const line of lines) state.lines.set(nameLine(line), line);
-            for (const each of adjustments) state.adjustments.set(nameAdjustment(each), each);
+            const state = this.findOrOpenWindow(window);
+            for (const line of lines) state.lines.set(lineKey(line), line);
+            for (const each of adjustments) state.adjustments.set(adjustmentKey(each), each);
         }
         for (const closed of snapshot.closed) this.closed.set(closed.reportId, closed);
         for (const { host, incarnation, seen, at } of snapshot.runs) {
@@ -163,48 +167,48 @@
         }
     }
 
-    private noteBatch({ host, incarnation, sequence }: UsageBatchCommand, context: ApplyContext): boolean {
-        const name = `${host} ${incarnation}`;
-        const run = this.runs.get(name) ?? { host, incarnation, seen: new SequenceSet(), at: 0 };
-        // Set again, so that the map stays in the order of last use.
-        this.runs.delete(name);
+    private recordBatch({ host, incarnation, sequence }: UsageBatchCommand, context: ApplyContext): boolean {
+        const key = `${host} ${incarnation}`;
+        const run = this.runs.get(key) ?? { host, incarnation, seen: new SequenceSet(), at: 0 };
+        // Deleted and set again to keep the map in the order of last use.
+        this.runs.delete(key);
         run.at = context.proposedAt;
-        this.runs.set(name, run);
-        for (const [oldest, { at }] of this.runs) {
+        this.runs.set(key, run);
+        for (const [oldestKey, { at }] of this.runs) {
             if (context.proposedAt - at <= RUN_RETENTION_MS) break;
-            this.runs.delete(oldest);
+            this.runs.delete(oldestKey);
         }
         return run.seen.add(sequence);
     }
 
-    /** Adds one sum that is known not to have been counted. */
+    /** Adds a sum that has not been counted before; late usage goes to the first open window, with an adjustment. */
     addSum({ window, line }: UsageSum): void {
         const late = window < this.openFrom;
-        const state = this.stateOf(late ? this.openFrom as WindowStart : window);
+        const state = this.findOrOpenWindow(late ? this.openFrom as WindowStart : window);
         addLine(state.lines, line);
         if (late) addAdjustment(state.adjustments, { of: window, line });
     }
 
     private freeze(window: WindowStart, windowMs: number, context: ApplyContext): void {
         const reportId = `usage-${window}-${windowMs}` as ReportId;
-        this.closed.set(reportId, { ...this.viewOpen(window), windowMs, reportId, closedAt: context.proposedAt });
+        this.closed.set(reportId, { ...this.describeOpen(window), windowMs, reportId, closedAt: context.proposedAt });
         this.open.delete(window);
     }
 
     private trimReported(): void {
         const reported = [...this.closed.values()].filter(closed => closed.reportedAt !== undefined);
-        for (const old of reported.slice(0, -REPORTED_KEPT)) {
-            if (old.lines.length > 0) this.closed.set(old.reportId, { ...old, lines: [], adjustments: [] });
+        for (const closed of reported.slice(0, -MAX_DETAILED_REPORTED_COUNT)) {
+            if (closed.lines.length > 0) this.closed.set(closed.reportId, { ...closed, lines: [], adjustments: [] });
         }
-        for (const old of reported.slice(0, -REPORTED_LISTED)) this.closed.delete(old.reportId);
+        for (const closed of reported.slice(0, -MAX_LISTED_REPORTED_COUNT)) this.closed.delete(closed.reportId);
     }
 
-    private viewOpen(window: WindowStart): OpenWindow {
-        const { lines, adjustments } = this.stateOf(window);
+    private describeOpen(window: WindowStart): OpenWindow {
+        const { lines, adjustments } = this.findOrOpenWindow(window);
         return { window, lines: [...lines.values()], adjustments: [...adjustments.values()] };
     }
 
-    private stateOf(window: WindowStart): WindowState {
+    private findOrOpenWindow(window: WindowStart): WindowState {
         const state = this.open.get(window) ?? { lines: new Map(), adjustments: new Map() };
         this.open.set(window, state);
         return state;
@@ -212,15 +216,15 @@
 }
 
 function addLine(lines: Map<string, UsageLine>, line: UsageLine): void {
-    const name = nameLine(line);
-    const sum = lines.get(name);
-    lines.set(name, sum ? addUsage(sum, line) : line);
+    const key = lineKey(line);
+    const sum = lines.get(key);
+    lines.set(key, sum ? addUsage(sum, line) : line);
 }
 
 function addAdjustment(adjustments: Map<string, Adjustment>, added: Adjustment): void {
-    const name = nameAdjustment(added);
-    const sum = adjustments.get(name);
-    adjustments.set(name, sum ? { of: sum.of, line: addUsage(sum.line, added.line) } : added);
+    const key = adjustmentKey(added);
+    const sum = adjustments.get(key);
+    adjustments.set(key, sum ? { of: sum.of, line: addUsage(sum.line, added.line) } : added);
 }
 
 function addUsage(a: UsageLine, b: UsageLine): UsageLine {
@@ -232,10 +236,10 @@
     };
 }
 
-function nameLine(line: UsageLine): string {
+function lineKey(line: UsageLine): string {
     return `${line.workspace}\n${line.pool}\n${line.class}`;
 }
 
-function nameAdjustment({ of, line }: Adjustment): string {
-    return `${of}\n${nameLine(line)}`;
+function adjustmentKey({ of, line }: Adjustment): string {
+    return `${of}\n${lineKey(line)}`;
 }
--- a/src/usage/usageBook/test.ts
+++ b/src/usage/usageBook/test.ts
@@ -16,46 +16,46 @@
     return { kind: "usage.batch", host, incarnation: "1", sequence, sums: [{ window: window as WindowStart, line }] };
 }
 
-function close(book: UsageBook, window: number): void {
-    book.close({ kind: "usage.close", window: window as WindowStart, windowMs: WINDOW_MS }, CONTEXT);
+function close(ledger: UsageBook, window: number): void {
+    ledger.close({ kind: "usage.close", window: window as WindowStart, windowMs: WINDOW_MS }, CONTEXT);
 }
 
-function restart(book: UsageBook): UsageBook {
+function restart(ledger: UsageBook): UsageBook {
     const copy = new UsageBook();
-    copy.restore(decodeValue(encodeValue(book.snapshot())) as UsageSnapshot);
+    copy.restore(decodeValue(encodeValue(ledger.snapshot())) as UsageSnapshot);
     return copy;
 }
 
-function sumTokens(book: UsageBook): number {
-    const windows = [...book.listOpen(), ...book.listClosed()];
+function sumTokens(ledger: UsageBook): number {
+    const windows = [...ledger.listOpen(), ...ledger.listClosed()];
     return windows.flatMap(window => window.lines).reduce((sum, line) => sum + line.prompt_tokens, 0);
 }
 
-describe("UsageBook", () => {
-    describe("a batch that comes twice", () => {
+describe("UsageLedger", () => {
+    describe("a batch received twice", () => {
         it("is counted once", () => {
-            // A school is billed twice for one sheet. The entry's batch was applied, the answer was lost with the holder, and
-            // the entry sent it again to the new holder. Cause: the second copy is not told from a new batch.
-            let book = new UsageBook();
-            assert.deepEqual(book.count(makeBatch("a", 1, 0, 10), CONTEXT), { counted: true });
-            book = restart(book);
-            assert.deepEqual(book.count(makeBatch("a", 1, 0, 10), CONTEXT), { counted: false });
-            assert.equal(sumTokens(book), 10);
+            // Prevents double billing: the entry's batch is applied, the answer is lost with the holder, and the entry resends the
+            // batch to the new holder, which must recognise it as a duplicate.
+            let ledger = new UsageBook();
+            assert.deepEqual(ledger.count(makeBatch("a", 1, 0, 10), CONTEXT), { counted: true });
+            ledger = restart(ledger);
+            assert.deepEqual(ledger.count(makeBatch("a", 1, 0, 10), CONTEXT), { counted: false });
+            assert.equal(sumTokens(ledger), 10);
         });
     });
 
-    describe("usage after the close", () => {
-        it("is an adjustment in the next window, and the closed one stays as it was", () => {
-            // The platform has a window's report; the entry that was cut off sends the rest; the resent report says more than the
-            // first. Cause: the window's sums go on growing after the close.
-            const book = new UsageBook();
-            book.count(makeBatch("a", 1, 0, 10), CONTEXT);
-            close(book, 0);
-            const frozen = structuredClone(book.listClosed());
-            book.count(makeBatch("a", 2, 0, 7), CONTEXT);
-            close(book, 0);
-            assert.deepEqual(book.listClosed(), frozen);
-            const [next] = book.listOpen();
+    describe("usage received after its window has closed", () => {
+        it("is an adjustment in the next window, and the closed window stays unchanged", () => {
+            // Prevents a resent report with higher figures than the first: the platform has the window's report, an entry that was
+            // cut off sends the rest of its usage, and the window's sums would go on growing after the close.
+            const ledger = new UsageBook();
+            ledger.count(makeBatch("a", 1, 0, 10), CONTEXT);
+            close(ledger, 0);
+            const frozen = structuredClone(ledger.listClosed());
+            ledger.count(makeBatch("a", 2, 0, 7), CONTEXT);
+            close(ledger, 0);
+            assert.deepEqual(ledger.listClosed(), frozen);
+            const [next] = ledger.listOpen();
             assert.equal(next.window, WINDOW_MS);
             assert.equal(next.adjustments[0].of, 0);
             assert.equal(next.lines[0].prompt_tokens, 7);
@@ -76,25 +76,25 @@
 });
 
 function checkSchedule(steps: readonly { act: string; host: string; sequence: number; window: number; }[]): void {
-    let book = new UsageBook();
+    let ledger = new UsageBook();
     const counted = new Map<string, number>();
     const frozen = new Map<ReportId, string>();
     for (const { act, host, sequence, window } of steps) {
         if (act === "batch") {
             const tokens = 1 + sequence * 100 + (host === "a" ? 0 : 7);
-            book.count(makeBatch(host, sequence, window * WINDOW_MS, tokens), CONTEXT);
+            ledger.count(makeBatch(host, sequence, window * WINDOW_MS, tokens), CONTEXT);
             counted.set(`${host} ${sequence}`, tokens);
         }
-        else if (act === "close") close(book, window * WINDOW_MS);
-        else if (act === "restart") book = restart(book);
-        else {for (const { reportId } of book.listUnreported()) {
-                book.markReported({ kind: "usage.reported", reportId }, CONTEXT);
+        else if (act === "close") close(ledger, window * WINDOW_MS);
+        else if (act === "restart") ledger = restart(ledger);
+        else {for (const { reportId } of ledger.listUnreported()) {
+                ledger.markReported({ kind: "usage.reported", reportId }, CONTEXT);
             }}
-        for (const { reportId, lines } of book.listClosed()) {
+        for (const { reportId, lines } of ledger.listClosed()) {
             const text = JSON.stringify(lines);
             assert.equal(frozen.get(reportId) ?? text, text);
             frozen.set(reportId, text);
         }
-        assert.equal(sumTokens(book), [...counted.values()].reduce((sum, tokens) => sum + tokens, 0));
+        assert.equal(sumTokens(ledger), [...counted.values()].reduce((sum, tokens) => sum + tokens, 0));
     }
 }
--- a/src/usage/usageCommands/index.ts
+++ b/src/usage/usageCommands/index.ts
@@ -2,8 +2,8 @@
 import { UsageLine } from "../../protocol/index.js";
 
 /**
- * Usage of one run of one entry. `sequence` counts 1, 2, 3 … for each (host, incarnation); one seen before is dropped,
- * and a batch is taken in whatever order it comes.
+ * Adds a batch of usage that one run of an entry has counted. `sequence` counts 1, 2, 3 … for each (host, incarnation): a batch with a
+ * known number is dropped as a duplicate, and batches are accepted in any order.
  */
 export interface UsageBatchCommand {
     readonly kind: "usage.batch";
@@ -13,25 +13,26 @@
     readonly sums: readonly UsageSum[];
 }
 
-/** One batch's sum for a window. */
+/** Usage of one window in a batch, for one workspace, pool and class. */
 export interface UsageSum {
     readonly window: WindowStart;
     readonly line: UsageLine;
 }
 
-/** Takes tokens out of a workspace's limit for one host to spend in one window. */
+/** Reserves tokens of a workspace's limit for one host to spend in one window. */
 export interface ReserveCommand {
     readonly kind: "spend.reserve";
     readonly workspace: WorkspaceId;
     readonly window: WindowStart;
     readonly host: string;
     readonly incarnation: string;
-    /** A number the host has not used before, so that a resend is not counted twice. */
+    /** A number that this run of the host has not used before, so that a resend is not counted twice. */
     readonly sequence: number;
     readonly tokens: number;
 }
 
-/** How many tokens were granted; 0 when the limit is reached. */
+/** The result of a reservation. */
 export interface ReserveResult {
+    /** Tokens granted: fewer than requested when the limit leaves less, 0 when it is reached. */
     readonly granted: number;
 }
