--- a/src/purchase/coverPurchase/index.ts
+++ b/src/purchase/coverPurchase/index.ts
@@ -1,38 +1,38 @@
 import { PoolId, ZoneId } from "../../ids/index.js";
 import { Offer } from "../../protocol/index.js";
-import { chooseMix, Mix, ZoneSupply } from "../mix/index.js";
+import { chooseMix, UpstreamMix, ZoneSupply } from "../mix/index.js";
 import {
     OwnedUpstream,
+    PurchaseInput,
     PurchaseOrder,
     PurchasePolicy,
-    PurchaseSnapshot,
     StartOrder,
     StopOrder,
 } from "../purchasePolicy/index.js";
 
-/** How much is kept ready beyond the forecast. */
+/** Capacity that `CoverPurchase` keeps ready beyond the forecast. */
 export interface CoverSettings {
-    /** Tiers up to this one must be covered after the loss of any one zone's reclaimable upstreams. */
+    /** Demand of the tiers up to this one, the top tiers, must be met after the loss of any one zone's reclaimable upstreams. */
     readonly topTier: number;
-    /** Capacity for each unit of forecast demand. */
+    /** Capacity as a multiple of the forecast demand. */
     readonly headroom: number;
-    /** The same while credits would else expire unspent. */
-    readonly headroomWhenRich: number;
-    /** The same for the top tiers after a loss. */
+    /** Replaces `headroom` while credits would otherwise expire unspent. */
+    readonly headroomWithSurplusCredits: number;
+    /** Capacity left after the loss of a zone, as a multiple of the top tiers' forecast demand. */
     readonly topHeadroom: number;
-    /** The share of the top tiers' upstreams that is steady whatever it costs. */
+    /** Share of the top tiers' upstreams that are steady (not reclaimable) whatever they cost. */
     readonly steadyShare: number;
-    /** A surplus must last this long before anything is stopped, in milliseconds. */
+    /** Time for which a surplus must last before upstreams are stopped, in milliseconds. */
     readonly holdMs: number;
-    /** Assumed of a pool while none of its upstreams has been seen. */
+    /** Slots per upstream, assumed for a pool of which no upstream has been seen. */
     readonly defaultSlots: number;
 }
 
-/** A quarter above the forecast, and the two top tiers safe from one zone's reclaim. */
+/** Keeps a quarter more than the forecast, and protects the two top tiers from the reclaim of one zone. */
 export const DEFAULT_COVER: CoverSettings = {
     topTier: 1,
     headroom: 1.25,
-    headroomWhenRich: 1.5,
+    headroomWithSurplusCredits: 1.5,
     topHeadroom: 1.25,
     steadyShare: 0.25,
     holdMs: 120_000,
@@ -40,18 +40,19 @@
 };
 
 const HOUR_MS = 3_600_000;
-/** Credits count as plenty when they would pay for this many times the plan until they expire. */
-const RICH_FACTOR = 1.5;
+/** Credits are in surplus when they would pay for more than this multiple of the planned mix until they expire. */
+const SURPLUS_CREDITS_FACTOR = 1.5;
 
-interface Kind {
+/** Upstreams that can replace each other: the same pool, zone and reclaimability. */
+interface UpstreamKind {
     readonly pool: PoolId;
     readonly zone: ZoneId;
     readonly reclaimable: boolean;
 }
 
 /**
- * The cheapest mix for the forecast such that the loss of any one zone's reclaimable upstreams leaves the top tiers
- * covered. Starts at once, stops late: a stop right after a start pays the billed minimum twice.
+ * Buys the cheapest mix for the forecast that still meets the top tiers' demand after the loss of any one zone's reclaimable
+ * upstreams. Starts upstreams at once and stops them late: stopping and starting again pays the billed minimum twice.
  */
 export class CoverPurchase extends PurchasePolicy {
     private readonly surplusSince = new Map<string, number>();
@@ -60,69 +61,74 @@
         super();
     }
 
-    plan(snapshot: PurchaseSnapshot): readonly PurchaseOrder[] {
-        const pools = new Set([...snapshot.demand, ...snapshot.owned].map(item => item.pool));
-        return [...pools].flatMap(pool => this.planPool(pool, snapshot));
+    plan(input: PurchaseInput): readonly PurchaseOrder[] {
+        const pools = new Set([...input.demand, ...input.owned].map(item => item.pool));
+        return [...pools].flatMap(pool => this.planPool(pool, input));
     }
 
-    private planPool(pool: PoolId, snapshot: PurchaseSnapshot): PurchaseOrder[] {
-        const supply = readSupply(pool, snapshot);
-        const mix = this.chooseAffordable(pool, snapshot, supply);
+    private planPool(pool: PoolId, input: PurchaseInput): PurchaseOrder[] {
+        const supply = listZoneSupply(pool, input);
+        const mix = this.chooseAffordableMix(pool, input, supply);
         return mix.zones.flatMap(zone => [
-            ...this.adjust({ pool, zone: zone.zone, reclaimable: true }, zone.reclaimable, snapshot),
-            ...this.adjust({ pool, zone: zone.zone, reclaimable: false }, zone.steady, snapshot),
+            ...this.planKind({ pool, zone: zone.zone, reclaimable: true }, zone.reclaimable, input),
+            ...this.planKind({ pool, zone: zone.zone, reclaimable: false }, zone.steady, input),
         ]);
     }
 
-    /** Pays for the top tiers in any case, and for the rest as far as the pace to the credits' last day allows. */
-    private chooseAffordable(pool: PoolId, snapshot: PurchaseSnapshot, supply: readonly ZoneSupply[]): Mix {
-        const mix = this.chooseFor(pool, snapshot, supply, this.settings.headroom, 1);
-        const affordable = affordablePerHour(snapshot) * shareOfPool(pool, snapshot);
-        if (affordable > RICH_FACTOR * mix.pricePerHour && affordable !== Infinity) {
-            return this.chooseFor(pool, snapshot, supply, this.settings.headroomWhenRich, 1);
+    /** Covers the top tiers in any case, and the lower tiers as far as the credits left, spread evenly until they expire, allow. */
+    private chooseAffordableMix(pool: PoolId, input: PurchaseInput, supply: readonly ZoneSupply[]): UpstreamMix {
+        const mix = this.chooseMixFor(pool, input, supply, this.settings.headroom, 1);
+        const affordable = affordablePricePerHour(input) * poolShareOfDemand(pool, input);
+        if (affordable > SURPLUS_CREDITS_FACTOR * mix.pricePerHour && affordable !== Infinity) {
+            return this.chooseMixFor(pool, input, supply, this.settings.headroomWithSurplusCredits, 1);
         }
         if (mix.pricePerHour <= affordable) return mix;
         for (const share of [0.75, 0.5, 0.25]) {
-            const smaller = this.chooseFor(pool, snapshot, supply, this.settings.headroom, share);
+            const smaller = this.chooseMixFor(pool, input, supply, this.settings.headroom, share);
             if (smaller.pricePerHour <= affordable) return smaller;
         }
-        return this.chooseFor(pool, snapshot, supply, this.settings.headroom, 0);
+        return this.chooseMixFor(pool, input, supply, this.settings.headroom, 0);
     }
 
-    private chooseFor(
+    private chooseMixFor(
         pool: PoolId,
-        snapshot: PurchaseSnapshot,
+        input: PurchaseInput,
         supply: readonly ZoneSupply[],
         headroom: number,
         lowerShare: number,
-    ): Mix {
+    ): UpstreamMix {
         const { topTier, topHeadroom, steadyShare, defaultSlots } = this.settings;
-        const slotsPerUpstream = meanSlots(pool, snapshot) ?? defaultSlots;
-        const demand = snapshot.demand.filter(item => item.pool === pool);
+        const slotsPerUpstream = meanSlotsPerUpstream(pool, input) ?? defaultSlots;
+        const demand = input.demand.filter(item => item.pool === pool);
         const top = sumSlots(demand.filter(item => item.tier <= topTier));
         const lower = sumSlots(demand.filter(item => item.tier > topTier)) * lowerShare;
         const afterLoss = Math.ceil(top * topHeadroom / slotsPerUpstream);
         const total = Math.max(1, Math.ceil((top + lower) * headroom / slotsPerUpstream));
-        return chooseMix({ total, afterLoss, leastSteady: Math.ceil(afterLoss * steadyShare) }, supply);
+        return chooseMix({ total, afterLoss, minSteady: Math.ceil(afterLoss * steadyShare) }, supply);
     }
 
-    private adjust(kind: Kind, wanted: number, snapshot: PurchaseSnapshot): PurchaseOrder[] {
-        const owned = ownedOf(kind, snapshot);
-        const missing = wanted - owned.length - countPending(kind, snapshot);
+    private planKind(kind: UpstreamKind, wanted: number, input: PurchaseInput): PurchaseOrder[] {
+        const owned = listOwned(kind, input);
+        const missing = wanted - owned.length - countPending(kind, input);
         if (missing > 0) {
-            this.surplusSince.delete(nameOf(kind));
+            this.surplusSince.delete(kindKey(kind));
             return [{ action: "start", ...kind, count: missing } satisfies StartOrder];
         }
         if (missing === 0) {
-            this.surplusSince.delete(nameOf(kind));
+            this.surplusSince.delete(kindKey(kind));
             return [];
         }
-        return this.stopSurplus(kind, owned, -missing, snapshot.now);
+        return this.stopSurplus(kind, owned, -missing, input.now);
     }
 
-    private stopSurplus(kind: Kind, owned: readonly OwnedUpstream[], surplus: number, now: number): StopOrder[] {
-        const since = this.surplusSince.get(nameOf(kind)) ?? now;
-        this.surplusSince.set(nameOf(kind), since);
+    private stopSurplus(
+        kind: UpstreamKind,
+        owned: readonly OwnedUpstream[],
+        surplus: number,
+        now: number,
+    ): StopOrder[] {
+        const since = this.surplusSince.get(kindKey(kind)) ?? now;
+        this.surplusSince.set(kindKey(kind), since);
         if (now - since < this.settings.holdMs) return [];
         return owned.filter(upstream => now - upstream.startedAt >= upstream.billedMinimumMs)
             .sort((a, b) => a.startedAt - b.startedAt)
@@ -131,9 +137,9 @@
     }
 }
 
-function readSupply(pool: PoolId, snapshot: PurchaseSnapshot): ZoneSupply[] {
-    const offers = snapshot.offers.filter(offer => offer.pool === pool);
-    const zones = new Set([...offers.map(offer => offer.zone), ...snapshot.owned.map(owned => owned.zone)]) as Set<
+function listZoneSupply(pool: PoolId, input: PurchaseInput): ZoneSupply[] {
+    const offers = input.offers.filter(offer => offer.pool === pool);
+    const zones = new Set([...offers.map(offer => offer.zone), ...input.owned.map(owned => owned.zone)]) as Set<
         ZoneId
     >;
     return [...zones].sort().map(zone => {
@@ -141,7 +147,7 @@
             offers.find(offer => offer.zone === zone && offer.reclaimable === reclaimable);
         const count = (reclaimable: boolean): number => {
             const kind = { pool, zone, reclaimable };
-            return (find(reclaimable)?.available ?? 0) + ownedOf(kind, snapshot).length + countPending(kind, snapshot);
+            return (find(reclaimable)?.available ?? 0) + listOwned(kind, input).length + countPending(kind, input);
         };
         return {
             zone,
@@ -153,36 +159,36 @@
     });
 }
 
-function ownedOf(kind: Kind, snapshot: PurchaseSnapshot): readonly OwnedUpstream[] {
-    return snapshot.owned.filter(other => isSameKind(kind, other) && !other.isLeaving);
+function listOwned(kind: UpstreamKind, input: PurchaseInput): readonly OwnedUpstream[] {
+    return input.owned.filter(other => isSameKind(kind, other) && !other.isLeaving);
 }
 
-function countPending(kind: Kind, snapshot: PurchaseSnapshot): number {
-    return snapshot.pending.filter(other => isSameKind(kind, other)).reduce((sum, other) => sum + other.count, 0);
+function countPending(kind: UpstreamKind, input: PurchaseInput): number {
+    return input.pending.filter(other => isSameKind(kind, other)).reduce((sum, other) => sum + other.count, 0);
 }
 
-function meanSlots(pool: PoolId, snapshot: PurchaseSnapshot): number | undefined {
-    const owned = snapshot.owned.filter(other => other.pool === pool);
+function meanSlotsPerUpstream(pool: PoolId, input: PurchaseInput): number | undefined {
+    const owned = input.owned.filter(other => other.pool === pool);
     return owned.length === 0 ? undefined : sumSlots(owned) / owned.length;
 }
 
-function isSameKind(a: Kind, b: Kind): boolean {
+function isSameKind(a: UpstreamKind, b: UpstreamKind): boolean {
     return a.pool === b.pool && a.zone === b.zone && a.reclaimable === b.reclaimable;
 }
 
-function nameOf(kind: Kind): string {
+function kindKey(kind: UpstreamKind): string {
     return `${kind.pool}\n${kind.zone}\n${kind.reclaimable}`;
 }
 
-function affordablePerHour(snapshot: PurchaseSnapshot): number {
-    if (!snapshot.credits) return Infinity;
-    const { left, expiresAt } = snapshot.credits;
-    return Math.max(0, left) / Math.max(HOUR_MS / 60, expiresAt - snapshot.now) * HOUR_MS;
+function affordablePricePerHour(input: PurchaseInput): number {
+    if (!input.credits) return Infinity;
+    const { left, expiresAt } = input.credits;
+    return Math.max(0, left) / Math.max(HOUR_MS / 60, expiresAt - input.now) * HOUR_MS;
 }
 
-function shareOfPool(pool: PoolId, snapshot: PurchaseSnapshot): number {
-    const all = sumSlots(snapshot.demand);
-    return all === 0 ? 1 : sumSlots(snapshot.demand.filter(item => item.pool === pool)) / all;
+function poolShareOfDemand(pool: PoolId, input: PurchaseInput): number {
+    const all = sumSlots(input.demand);
+    return all === 0 ? 1 : sumSlots(input.demand.filter(item => item.pool === pool)) / all;
 }
 
 function sumSlots(demand: readonly { readonly slots: number; }[]): number {
--- a/src/purchase/coverPurchase/test.ts
+++ b/src/purchase/coverPurchase/test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { PoolId, UpstreamId, ZoneId } from "../../ids/index.js";
 import { Offer } from "../../protocol/index.js";
-import { OwnedUpstream, PurchaseOrder, PurchaseSnapshot } from "../purchasePolicy/index.js";
+import { OwnedUpstream, PurchaseInput, PurchaseOrder } from "../purchasePolicy/index.js";
 import { CoverPurchase, DEFAULT_COVER } from "./index.js";
 
 const POOL = "draft" as PoolId;
@@ -36,7 +36,7 @@
     };
 }
 
-function makeSnapshot(fields: Partial<PurchaseSnapshot>): PurchaseSnapshot {
+function makeInput(fields: Partial<PurchaseInput>): PurchaseInput {
     return {
         now: 0,
         demand: [{ pool: POOL, tier: 0, slots: 32 }, { pool: POOL, tier: 3, slots: 32 }],
@@ -54,57 +54,57 @@
     );
 }
 
-describe("CoverPurchase", () => {
-    it("starts a mix for the demand and its headroom", () => {
-        const orders = new CoverPurchase().plan(makeSnapshot({}));
+describe("ZoneLossCoverPolicy", () => {
+    it("starts a mix for the demand plus headroom", () => {
+        const orders = new CoverPurchase().plan(makeInput({}));
         assert.equal(countStarts(orders, true) + countStarts(orders, false), 5);
         assert.ok(countStarts(orders, false) >= 1);
     });
 
     it("orders nothing twice while a start is under way", () => {
         const policy = new CoverPurchase();
-        const orders = policy.plan(makeSnapshot({}));
+        const orders = policy.plan(makeInput({}));
         const pending = orders.filter(order => order.action === "start");
-        assert.deepEqual(policy.plan(makeSnapshot({ pending })), []);
+        assert.deepEqual(policy.plan(makeInput({ pending })), []);
     });
 
-    it("replaces what has a reclaim notice before it is gone", () => {
+    it("replaces upstreams with a reclaim notice before they are gone", () => {
         const owned = ["u1", "u2"].map(id => makeOwned(id, { isLeaving: true }));
-        const orders = new CoverPurchase().plan(makeSnapshot({ owned }));
+        const orders = new CoverPurchase().plan(makeInput({ owned }));
         assert.equal(countStarts(orders, true) + countStarts(orders, false), 5);
     });
 
-    describe("demand that goes up and down around a step", () => {
-        // The bill doubles although demand stays the same: an upstream is stopped and started again every few minutes, and
-        // each start pays the billed minimum anew.
-        it("stops only after the surplus has lasted and the billed minimum is used", () => {
+    describe("demand that oscillates around a whole number of upstreams", () => {
+        // Prevents a doubled bill at constant demand: if an upstream is stopped and started again every few minutes, each start
+        // pays the billed minimum again.
+        it("stops upstreams only after the surplus has lasted and the billed minimum has passed", () => {
             const policy = new CoverPurchase();
             const owned = Array.from(
                 { length: 8 },
                 (_, index) => makeOwned(`u${index}`, { zone: ZONES[index % 3], reclaimable: index > 1 }),
             );
             const demand = [{ pool: POOL, tier: 0, slots: 16 }];
-            assert.deepEqual(policy.plan(makeSnapshot({ owned, demand, now: 50_000 })), []);
-            assert.deepEqual(policy.plan(makeSnapshot({ owned, demand, now: 50_000 + DEFAULT_COVER.holdMs - 1 })), []);
-            const orders = policy.plan(makeSnapshot({ owned, demand, now: 50_000 + DEFAULT_COVER.holdMs }));
+            assert.deepEqual(policy.plan(makeInput({ owned, demand, now: 50_000 })), []);
+            assert.deepEqual(policy.plan(makeInput({ owned, demand, now: 50_000 + DEFAULT_COVER.holdMs - 1 })), []);
+            const orders = policy.plan(makeInput({ owned, demand, now: 50_000 + DEFAULT_COVER.holdMs }));
             assert.ok(orders.length > 0 && orders.every(order => order.action === "stop"));
         });
     });
 
     describe("credits", () => {
-        it("that run out too early pay for the top tiers first", () => {
-            const rich = new CoverPurchase().plan(makeSnapshot({}));
+        it("pay for the top tiers first when they would run out too early", () => {
+            const unlimited = new CoverPurchase().plan(makeInput({}));
             const credits = { left: 1_800, expiresAt: 3_600_000 };
-            const poor = new CoverPurchase().plan(makeSnapshot({ credits }));
+            const limited = new CoverPurchase().plan(makeInput({ credits }));
             const count = (orders: readonly PurchaseOrder[]): number =>
                 countStarts(orders, true) + countStarts(orders, false);
-            assert.ok(count(poor) < count(rich));
-            assert.ok(count(poor) >= 3);
+            assert.ok(count(limited) < count(unlimited));
+            assert.ok(count(limited) >= 3);
         });
 
-        it("that would expire unspent buy more headroom", () => {
+        it("buy more headroom when they would expire unspent", () => {
             const credits = { left: 1e9, expiresAt: 3_600_000 };
-            const orders = new CoverPurchase().plan(makeSnapshot({ credits }));
+            const orders = new CoverPurchase().plan(makeInput({ credits }));
             assert.equal(countStarts(orders, true) + countStarts(orders, false), 6);
         });
     });
--- a/src/purchase/demandForecast/index.ts
+++ b/src/purchase/demandForecast/index.ts
@@ -1,19 +1,19 @@
 import { PoolId } from "../../ids/index.js";
 import { TierDemand } from "../purchasePolicy/index.js";
 
-/** How a forecast weighs what it saw. */
+/** Smoothing, peak memory and look-ahead of a forecast. */
 export interface ForecastSettings {
-    /** Time over which the level is smoothed, in milliseconds. */
+    /** Time constant of the exponential smoothing of level and trend, in milliseconds. */
     readonly levelMs: number;
-    /** Time in which a peak is half forgotten, in milliseconds. */
+    /** Half-life of a remembered peak, in milliseconds. */
     readonly peakHalfLifeMs: number;
-    /** The share of a remembered peak that is kept ready. */
+    /** Share of the remembered peak that is the lower bound of a forecast. */
     readonly peakShare: number;
-    /** How long an upstream takes to start, in milliseconds: the forecast looks that far ahead. */
+    /** Start-up time of an upstream, in milliseconds: the forecast looks this far ahead. */
     readonly startMs: number;
 }
 
-/** Follows a rise within seconds and forgets a peak within a quarter of an hour. */
+/** Follows a rise within seconds; a peak decays to half within a quarter of an hour. */
 export const DEFAULT_FORECAST: ForecastSettings = {
     levelMs: 10_000,
     peakHalfLifeMs: 900_000,
@@ -21,47 +21,55 @@
     startMs: 30_000,
 };
 
-interface Series {
+/** Smoothed demand of one tier of a pool. */
+interface DemandSeries {
     readonly pool: PoolId;
     readonly tier: number;
+    /** Smoothed slots. */
     level: number;
+    /** Smoothed change of the level, in slots per millisecond. */
     trend: number;
+    /** Decaying maximum of the level, in slots. */
     peak: number;
-    seenAt: number;
+    /** Wall time of the last measurement, in milliseconds. */
+    updatedAt: number;
 }
 
-/** Forecasts the slots that each tier of each pool will need when an upstream ordered now is ready. */
+/**
+ * Forecasts the slots that each tier of each pool will need by the time an upstream ordered now is ready: smoothed level plus rising
+ * trend, but at least a share of a recent peak.
+ */
 export class DemandForecast {
-    private readonly series = new Map<string, Series>();
+    private readonly seriesByTier = new Map<string, DemandSeries>();
 
     constructor(private readonly settings: ForecastSettings = DEFAULT_FORECAST) {}
 
     /**
-     * Takes a measurement.
+     * Adds a measurement.
      *
-     * @param demand - Slots that the tier needs now: its arrivals in a millisecond times how long each holds a slot.
+     * @param demand - Slots that the tier needs now: its arrivals per millisecond times the milliseconds for which each holds a slot.
      * @param now - Wall time, in milliseconds.
      */
     learn(demand: TierDemand, now: number): void {
         const key = `${demand.pool}\n${demand.tier}`;
-        const known = this.series.get(key);
-        if (!known) {
+        const series = this.seriesByTier.get(key);
+        if (!series) {
             const { pool, tier, slots } = demand;
-            this.series.set(key, { pool, tier, level: slots, trend: 0, peak: slots, seenAt: now });
+            this.seriesByTier.set(key, { pool, tier, level: slots, trend: 0, peak: slots, updatedAt: now });
             return;
         }
-        const passedMs = Math.max(1, now - known.seenAt);
-        const weight = 1 - Math.exp(-passedMs / this.settings.levelMs);
-        const level = known.level + weight * (demand.slots - known.level);
-        known.trend += weight * ((level - known.level) / passedMs - known.trend);
-        known.level = level;
-        known.peak = Math.max(level, known.peak * 0.5 ** (passedMs / this.settings.peakHalfLifeMs));
-        known.seenAt = now;
+        const elapsedMs = Math.max(1, now - series.updatedAt);
+        const weight = 1 - Math.exp(-elapsedMs / this.settings.levelMs);
+        const level = series.level + weight * (demand.slots - series.level);
+        series.trend += weight * ((level - series.level) / elapsedMs - series.trend);
+        series.level = level;
+        series.peak = Math.max(level, series.peak * 0.5 ** (elapsedMs / this.settings.peakHalfLifeMs));
+        series.updatedAt = now;
     }
 
-    /** The demand of each tier of each pool, one start-up time ahead. */
+    /** Returns the forecast demand of each tier of each pool, one start-up time ahead. */
     forecast(): readonly TierDemand[] {
-        return [...this.series.values()].map(({ pool, tier, level, trend, peak }) => {
+        return [...this.seriesByTier.values()].map(({ pool, tier, level, trend, peak }) => {
             const ahead = level + Math.max(0, trend) * this.settings.startMs;
             return { pool, tier, slots: Math.max(ahead, this.settings.peakShare * peak) };
         });
--- a/src/purchase/demandForecast/test.ts
+++ b/src/purchase/demandForecast/test.ts
@@ -5,7 +5,7 @@
 
 const POOL = "draft" as PoolId;
 
-function play(forecast: DemandForecast, slots: (second: number) => number, fromS: number, toS: number): number {
+function feedDemand(forecast: DemandForecast, slots: (second: number) => number, fromS: number, toS: number): number {
     for (let second = fromS; second < toS; second++) {
         forecast.learn({ pool: POOL, tier: 0, slots: slots(second) }, second * 1_000);
     }
@@ -13,19 +13,19 @@
 }
 
 describe("DemandForecast", () => {
-    it("says what steady demand is", () => {
-        assert.ok(Math.abs(play(new DemandForecast(), () => 40, 0, 120) - 40) < 1);
+    it("converges on constant demand", () => {
+        assert.ok(Math.abs(feedDemand(new DemandForecast(), () => 40, 0, 120) - 40) < 1);
     });
 
-    it("runs ahead of rising demand by the start-up time", () => {
-        const ahead = play(new DemandForecast(), second => second, 0, 120);
+    it("extrapolates rising demand by the start-up time", () => {
+        const ahead = feedDemand(new DemandForecast(), second => second, 0, 120);
         assert.ok(ahead > 120 && ahead < 120 + DEFAULT_FORECAST.startMs / 1_000, String(ahead));
     });
 
-    it("keeps a share of a peak ready and forgets it in time", () => {
+    it("keeps a share of a recent peak, which decays", () => {
         const forecast = new DemandForecast();
-        play(forecast, () => 100, 0, 120);
-        assert.ok(play(forecast, () => 10, 120, 240) > 50);
-        assert.ok(play(forecast, () => 10, 240, 7_200) < 11);
+        feedDemand(forecast, () => 100, 0, 120);
+        assert.ok(feedDemand(forecast, () => 10, 120, 240) > 50);
+        assert.ok(feedDemand(forecast, () => 10, 240, 7_200) < 11);
     });
 });
--- a/src/purchase/index.ts
+++ b/src/purchase/index.ts
@@ -1,4 +1,4 @@
-/** Demand forecast, the mix of upstreams to run, and what they load ahead of demand. */
+/** Capacity planning: the demand forecast, the number of upstreams to run by zone and kind, and what they load ahead of demand. */
 export * from "./coverPurchase/index.js";
 export * from "./demandForecast/index.js";
 export * from "./mix/index.js";
--- a/src/purchase/mix/index.ts
+++ b/src/purchase/mix/index.ts
@@ -1,76 +1,82 @@
 import { ZoneId } from "../../ids/index.js";
 
-/** What one zone offers of a pool, what is running there included. */
+/** Upstreams of a pool that could run in one zone, including those that run there already. */
 export interface ZoneSupply {
     readonly zone: ZoneId;
-    /** How many reclaimable upstreams could run there. */
+    /** Number of upstreams that the platform may reclaim. */
     readonly reclaimable: number;
+    /** Number of upstreams that are not reclaimable. */
     readonly steady: number;
-    /** In micro-credits an hour. */
+    /** Price of a reclaimable upstream, in micro-credits per hour. */
     readonly reclaimablePrice: number;
+    /** Price of a steady upstream, in micro-credits per hour. */
     readonly steadyPrice: number;
 }
 
-/** What a pool must hold, in upstreams. */
-export interface MixNeed {
-    /** In all. */
+/** Number of upstreams that a pool needs. */
+export interface MixRequirement {
+    /** In total. */
     readonly total: number;
-    /** After any one zone has lost all its reclaimable upstreams. */
+    /** Left after any one zone has lost all its reclaimable upstreams. */
     readonly afterLoss: number;
-    /** Steady ones at the least, whatever they cost: cheap capacity can vanish everywhere. */
-    readonly leastSteady: number;
+    /** Minimum of steady ones, whatever they cost: reclaimable capacity can disappear in all zones. */
+    readonly minSteady: number;
 }
 
-/** How many upstreams to run in a zone. */
+/** Number of upstreams to run in a zone. */
 export interface ZoneMix {
     readonly zone: ZoneId;
     readonly reclaimable: number;
     readonly steady: number;
 }
 
-/** A mix and whether it holds what was needed. */
-export interface Mix {
+/** Number of upstreams to run in each zone, and their price. */
+export interface UpstreamMix {
     readonly zones: readonly ZoneMix[];
-    /** In micro-credits an hour. */
+    /** In micro-credits per hour. */
     readonly pricePerHour: number;
-    /** Supply was too short for the need; this is the nearest that can be had. */
+    /** Whether supply does not meet the requirement; the mix then takes all that is available. */
     readonly isShort: boolean;
 }
 
 /**
- * Finds the cheapest mix that holds the need.
+ * Finds the cheapest mix that meets the requirement.
  *
- * Reclaimable upstreams are taken back a whole zone at a time, so one zone's share of them must never be what the top
- * tiers stand on. Spread evenly, more of them can be cheaper cover than a few steady ones; the search weighs both.
+ * The platform reclaims a whole zone at once, so the top tiers must never depend on the reclaimable upstreams of one zone. A larger
+ * number of reclaimable upstreams spread evenly over the zones can be cheaper than a few steady ones; the search compares both.
  *
  * @example
- * chooseMix({ total: 8, afterLoss: 4, leastSteady: 1 }, supply);
+ * chooseMix({ total: 8, afterLoss: 4, minSteady: 1 }, supply);
  */
-export function chooseMix(need: MixNeed, supply: readonly ZoneSupply[]): Mix {
-    const mostReclaimable = sum(supply, zone => zone.reclaimable);
-    const mostSteady = sum(supply, zone => zone.steady);
-    let best: Mix | undefined;
-    let widest: Mix = mixOf(
-        spread(supply, mostReclaimable, "reclaimable"),
-        spread(supply, mostSteady, "steady"),
+export function chooseMix(required: MixRequirement, supply: readonly ZoneSupply[]): UpstreamMix {
+    const maxReclaimable = sum(supply, zone => zone.reclaimable);
+    const maxSteady = sum(supply, zone => zone.steady);
+    let best: UpstreamMix | undefined;
+    let largest: UpstreamMix = buildMix(
+        spreadOverZones(supply, maxReclaimable, "reclaimable"),
+        spreadOverZones(supply, maxSteady, "steady"),
         supply,
     );
-    const reclaimableBound = Math.min(mostReclaimable, need.total + need.afterLoss);
+    const reclaimableBound = Math.min(maxReclaimable, required.total + required.afterLoss);
     for (let reclaimable = 0; reclaimable <= reclaimableBound; reclaimable++) {
-        const cheap = spread(supply, reclaimable, "reclaimable");
-        const worstLoss = Math.max(0, ...cheap);
-        const steady = Math.max(need.leastSteady, need.total - reclaimable, need.afterLoss - reclaimable + worstLoss);
-        if (steady > mostSteady) continue;
-        const mix = mixOf(cheap, spread(supply, steady, "steady"), supply);
+        const reclaimableByZone = spreadOverZones(supply, reclaimable, "reclaimable");
+        const largestZoneLoss = Math.max(0, ...reclaimableByZone);
+        const steady = Math.max(
+            required.minSteady,
+            required.total - reclaimable,
+            required.afterLoss - reclaimable + largestZoneLoss,
+        );
+        if (steady > maxSteady) continue;
+        const mix = buildMix(reclaimableByZone, spreadOverZones(supply, steady, "steady"), supply);
         if (!best || mix.pricePerHour < best.pricePerHour) best = mix;
     }
     if (best) return best;
-    widest = { ...widest, isShort: true };
-    return widest;
+    largest = { ...largest, isShort: true };
+    return largest;
 }
 
-/** Fills the zones evenly, the cheaper first, up to what each offers. */
-function spread(supply: readonly ZoneSupply[], count: number, kind: "reclaimable" | "steady"): number[] {
+/** Distributes a number of upstreams evenly over the zones, the cheaper zones first, up to the supply of each. */
+function spreadOverZones(supply: readonly ZoneSupply[], count: number, kind: "reclaimable" | "steady"): number[] {
     const counts = supply.map(() => 0);
     const priceOf = (zone: ZoneSupply): number => kind === "steady" ? zone.steadyPrice : zone.reclaimablePrice;
     for (let placed = 0; placed < count; placed++) {
@@ -88,7 +94,11 @@
     return counts;
 }
 
-function mixOf(reclaimable: readonly number[], steady: readonly number[], supply: readonly ZoneSupply[]): Mix {
+function buildMix(
+    reclaimable: readonly number[],
+    steady: readonly number[],
+    supply: readonly ZoneSupply[],
+): UpstreamMix {
     const zones = supply.map((zone, index) => ({
         zone: zone.zone,
         reclaimable: reclaimable[index],
@@ -103,6 +113,6 @@
     };
 }
 
-function sum<Item>(items: readonly Item[], read: (item: Item) => number): number {
-    return items.reduce((total, item) => total + read(item), 0);
+function sum<Item>(items: readonly Item[], valueOf: (item: Item) => number): number {
+    return items.reduce((total, item) => total + valueOf(item), 0);
 }
--- a/src/purchase/prefetch/test.ts
+++ b/src/purchase/prefetch/test.ts
@@ -13,7 +13,7 @@
 describe("planPrefetch", () => {
     const targets = [makeTarget("u1", "a"), makeTarget("u2", "a"), makeTarget("u3", "b")];
 
-    it("spreads copies over zones and counts those that are there", () => {
+    it("spreads copies over zones and counts the existing ones", () => {
         const demand = [{ artifact: MODEL, copies: 2, requestsPerSecond: 1 }];
         const orders = planPrefetch({ demand, targets, budgetBytes: 1_000 });
         assert.deepEqual(orders.map(order => order.upstream), ["u1", "u3"]);
@@ -22,7 +22,7 @@
         assert.deepEqual(later.map(order => order.upstream), ["u3"]);
     });
 
-    it("loads what most requests ask for by byte first, within the store's rate", () => {
+    it("loads the artifact with the most requests per byte first, within the store's rate", () => {
         const demand = [
             { artifact: MODEL, copies: 1, requestsPerSecond: 5 },
             { artifact: ADAPTER, copies: 3, requestsPerSecond: 1 },
--- a/src/purchase/purchasePolicy/index.ts
+++ b/src/purchase/purchasePolicy/index.ts
@@ -1,29 +1,32 @@
 import { PoolId, UpstreamId, ZoneId } from "../../ids/index.js";
 import { Offer } from "../../protocol/index.js";
 
-/** How many slots a tier of a pool will need. */
+/** Slots that a tier of a pool needs. */
 export interface TierDemand {
     readonly pool: PoolId;
     readonly tier: number;
-    /** Requests running at once, as forecast for when an upstream ordered now is ready. */
+    /** Concurrently running requests; in a forecast, for the time at which an upstream ordered now is ready. */
     readonly slots: number;
 }
 
-/** An upstream that is paid for. */
+/** An upstream that is running and billed. */
 export interface OwnedUpstream {
     readonly id: UpstreamId;
     readonly pool: PoolId;
     readonly zone: ZoneId;
+    /** Whether the platform may take it back at any time. */
     readonly reclaimable: boolean;
+    /** Requests that it runs concurrently. */
     readonly slots: number;
     /** Wall time of its start, in milliseconds. */
     readonly startedAt: number;
+    /** Time that is billed even if it is stopped earlier, in milliseconds. */
     readonly billedMinimumMs: number;
-    /** It has a reclaim notice, or leaves. */
+    /** Whether it has a reclaim notice or is shutting down. */
     readonly isLeaving: boolean;
 }
 
-/** Upstreams ordered that have not announced themselves yet. */
+/** Ordered upstreams that have not announced themselves yet. */
 export interface PendingStart {
     readonly pool: PoolId;
     readonly zone: ZoneId;
@@ -31,7 +34,7 @@
     readonly count: number;
 }
 
-/** Credits that are lost when they are not spent in time. */
+/** Prepaid credits that expire unless they are spent in time. */
 export interface Credits {
     /** In micro-credits. */
     readonly left: number;
@@ -39,8 +42,8 @@
     readonly expiresAt: number;
 }
 
-/** All that a purchase decision rests on. */
-export interface PurchaseSnapshot {
+/** Input of a purchase decision. */
+export interface PurchaseInput {
     /** Wall time, in milliseconds. */
     readonly now: number;
     readonly demand: readonly TierDemand[];
@@ -50,7 +53,7 @@
     readonly credits?: Credits;
 }
 
-/** Upstreams to start. */
+/** An order to start upstreams. */
 export interface StartOrder {
     readonly action: "start";
     readonly pool: PoolId;
@@ -59,7 +62,7 @@
     readonly count: number;
 }
 
-/** An upstream to stop, after it has drained. */
+/** An order to stop an upstream after it has drained. */
 export interface StopOrder {
     readonly action: "stop";
     readonly pool: PoolId;
@@ -68,13 +71,16 @@
     readonly upstream: UpstreamId;
 }
 
+/** An order to the platform to start or stop upstreams. */
 export type PurchaseOrder = StartOrder | StopOrder;
 
-/** Decides which upstreams to run. A pure decision: the control holder places the orders, each with its id. */
+/** Decides which upstreams to run. Performs no orders itself: the holder of the control lease places them, each with its id. */
 export abstract class PurchasePolicy {
     /**
-     * @param snapshot - What is known now; call it every few seconds.
-     * @returns The orders to place, none when all is as it should be.
+     * Plans orders; called every few seconds.
+     *
+     * @param input - The current state and the forecast.
+     * @returns The orders to place; empty when the running upstreams are as planned.
      */
-    abstract plan(snapshot: PurchaseSnapshot): readonly PurchaseOrder[];
+    abstract plan(input: PurchaseInput): readonly PurchaseOrder[];
 }
--- a/src/purchase/zonePlan/index.ts
+++ b/src/purchase/zonePlan/index.ts
@@ -1,129 +1,147 @@
 import { ZoneId } from "../../ids/index.js";
 
-/** Upstreams of one pool in one zone, of one kind. */
+/** Upstreams of one pool in one zone, either the steady or the reclaimable ones. */
 export interface ZoneCount {
-    /** Those that take work. */
+    /** Number of upstreams that accept work. */
     readonly ready: number;
-    /** How many were ordered last; undefined when nothing was. */
+    /** Number in the last order; undefined when there was none. */
     readonly ordered: number | undefined;
-    /** The platform had none the last time it was asked. */
+    /** Whether the platform had none at the last order. */
     readonly soldOut: boolean;
 }
 
-/** One zone of a pool. */
+/** Current upstreams of a pool in one zone. */
 export interface ZoneSituation {
     readonly zone: ZoneId;
-    /** The price of a steady upstream's second. */
+    /** Price of a steady upstream per second. */
     readonly price: number;
+    /** Upstreams that the platform does not take back. */
     readonly steady: ZoneCount;
+    /** Upstreams that the platform may take back at any time. */
     readonly reclaimable: ZoneCount;
-    /** Its upstreams get no work. */
+    /** Whether the zone is evacuated: its upstreams get no work. */
     readonly isEvacuated?: boolean;
 }
 
-/** What a pool needs, and what it may have. */
-export interface PoolSituation {
+/** Input of `planZones`: a pool's upstreams, bounds and need. */
+export interface PoolPlanInput {
     readonly zones: readonly ZoneSituation[];
-    /** The fewest and the most upstreams in one zone. */
+    /** Minimum number of upstreams in a zone. */
     readonly least: number;
+    /** Maximum number of upstreams in a zone, of both kinds together. */
     readonly most: number;
-    /** What a reclaimable upstream costs, as a share of a steady one; undefined where there are none. */
+    /** Price of a reclaimable upstream as a share of a steady one's; undefined where there are none. */
     readonly reclaimablePrice: number | undefined;
-    /** How many upstreams carry the present load well. */
+    /** Number of upstreams that serve the present load well. */
     readonly needed: number;
-    /** How many carry it at all; steady ones are bought for these only. */
+    /** Minimum number of upstreams that can serve the present load; steady ones are bought up to this number only. */
     readonly leastNeeded: number;
 }
 
-/** How many upstreams a zone should have. */
+/** Planned number of upstreams in a zone. */
 export interface ZoneWish {
     readonly zone: ZoneId;
     readonly steady: number;
     readonly reclaimable: number;
 }
 
-/** A reclaimable upstream is taken in place of a steady one when it costs at most this share of it: it may go at any moment. */
-const WORTHWHILE_PRICE = 0.7;
-/** In a shortage steady ones fill so much of a zone's bound at most, so that reclaimable ones find room when they come back. */
-const STEADY_SHARE = 0.5;
+/**
+ * Reclaimable upstreams are preferred when they cost at most this share of a steady one's price: the difference makes up for the risk
+ * that they are taken back at any time.
+ */
+const MAX_RECLAIMABLE_PRICE_RATIO = 0.7;
+/** Steady upstreams fill at most this share of a zone's bound in a shortage, which leaves room for reclaimable ones that return. */
+const MAX_STEADY_SHARE = 0.5;
 
 /**
- * Plans how many upstreams each zone should have: reclaimable ones where they are cheap, as many that the load is still carried when
- * the platform takes back those of a whole zone, and steady ones for what reclaimable ones can't carry now. A zone that is evacuated keeps
- * what it has: its upstreams would be cold when it is restored if they had to be ordered anew.
+ * Plans the number of upstreams in each zone: reclaimable ones where they are cheap, enough to serve the load after the platform has
+ * taken back those of a whole zone, and steady ones for the load that reclaimable ones can't serve at present. An evacuated zone keeps
+ * its upstreams: if they had to be ordered again, they would be cold when the zone is restored.
  *
  * @example
- * const wishes = planZones({ zones, least: 1, most: 4, reclaimablePrice: 0.18, needed: 6, leastNeeded: 3 });
+ * const targets = planZones({ zones, least: 1, most: 4, reclaimablePrice: 0.18, needed: 6, leastNeeded: 3 });
  */
-export function planZones(situation: PoolSituation): readonly ZoneWish[] {
-    const zones = situation.zones.filter(({ isEvacuated }) => !isEvacuated);
-    const planned = planOpenZones({ ...situation, zones });
-    return situation.zones.map(zone => planned.find(wish => wish.zone === zone.zone) ?? keepPresent(zone));
+export function planZones(input: PoolPlanInput): readonly ZoneWish[] {
+    const zones = input.zones.filter(({ isEvacuated }) => !isEvacuated);
+    const planned = planZonesInService({ ...input, zones });
+    return input.zones.map(zone => planned.find(target => target.zone === zone.zone) ?? keepCurrent(zone));
 }
 
-function planOpenZones(situation: PoolSituation): readonly ZoneWish[] {
-    const { zones, reclaimablePrice } = situation;
+function planZonesInService(input: PoolPlanInput): readonly ZoneWish[] {
+    const { zones, reclaimablePrice } = input;
     if (zones.length === 0) return [];
-    const isCheap = reclaimablePrice !== undefined && reclaimablePrice <= WORTHWHILE_PRICE;
-    return isCheap ? planReclaimable(situation) : planSteady(situation);
+    const isCheap = reclaimablePrice !== undefined && reclaimablePrice <= MAX_RECLAIMABLE_PRICE_RATIO;
+    return isCheap ? planReclaimable(input) : planSteady(input);
 }
 
-function keepPresent({ zone, steady, reclaimable }: ZoneSituation): ZoneWish {
+function keepCurrent({ zone, steady, reclaimable }: ZoneSituation): ZoneWish {
     return { zone, steady: steady.ordered ?? steady.ready, reclaimable: reclaimable.ordered ?? reclaimable.ready };
 }
 
-function planReclaimable(situation: PoolSituation): ZoneWish[] {
-    const { zones, least, most, needed } = situation;
-    // One zone may be taken back as a whole at any moment.
-    const others = Math.max(1, zones.length - 1);
-    const perZone = clamp(Math.ceil(needed / others), Math.max(1, least), most);
-    const wishes = zones.map(zone => ({
+function planReclaimable(input: PoolPlanInput): ZoneWish[] {
+    const { zones, least, most, needed } = input;
+    // The platform may take back all reclaimable upstreams of one zone at any time.
+    const otherZoneCount = Math.max(1, zones.length - 1);
+    const perZone = clamp(Math.ceil(needed / otherZoneCount), Math.max(1, least), most);
+    const targets = zones.map(zone => ({
         zone: zone.zone,
         reclaimable: perZone,
-        steady: clamp(perZone - zone.reclaimable.ready, 0, presentSteady(zone) - countInTheWay(zone, perZone, most)),
+        steady: clamp(
+            perZone - zone.reclaimable.ready,
+            0,
+            currentSteady(zone) - countSteadyToRelease(zone, perZone, most),
+        ),
     }));
-    return addMissing(situation, wishes);
+    return addSteadyForShortfall(input, targets);
 }
 
 /**
- * Steady upstreams that must go for reclaimable ones to come, half of them at a time.
+ * Counts the steady upstreams to release so that reclaimable ones can start: half of them per plan.
  *
- * Guards against steady ones that were bought in a shortage and stay for good: both kinds share a zone's bound, so where they fill it no
- * reclaimable one can come to take over.
+ * Prevents steady upstreams bought in a shortage from staying permanently: both kinds share a zone's bound, so where steady ones fill
+ * it, no reclaimable one can start and replace them.
  */
-function countInTheWay({ steady, reclaimable }: ZoneSituation, wanted: number, most: number): number {
+function countSteadyToRelease({ steady, reclaimable }: ZoneSituation, targetCount: number, most: number): number {
     const isFull = steady.ready + reclaimable.ready >= most;
-    if (!isFull || reclaimable.soldOut || reclaimable.ready >= wanted) return 0;
+    if (!isFull || reclaimable.soldOut || reclaimable.ready >= targetCount) return 0;
     return Math.ceil(steady.ready / 2);
 }
 
-/** What there is stays until a reclaimable one takes over: both kinds together may be no more than the zone's most. */
-function presentSteady({ steady }: ZoneSituation): number {
+/**
+ * Counts the steady upstreams that stay until reclaimable ones replace them: both kinds together can't exceed the zone's bound.
+ * Counts no more than were ordered last.
+ */
+function currentSteady({ steady }: ZoneSituation): number {
     return Math.min(steady.ready, steady.ordered ?? steady.ready);
 }
 
-/** Steady upstreams, the cheapest zones first, for what neither the reclaimable ones that serve nor those that boot will carry. */
-function addMissing({ zones, most, leastNeeded }: PoolSituation, wishes: readonly ZoneWish[]): ZoneWish[] {
-    const carried = zones.reduce((sum, zone, at) => sum + carriedBy(zone, wishes[at]), 0);
-    let missing = leastNeeded - carried;
+/**
+ * Adds steady upstreams, in the cheapest zones first, for the minimum need that neither the serving nor the starting reclaimable
+ * upstreams will meet.
+ */
+function addSteadyForShortfall({ zones, most, leastNeeded }: PoolPlanInput, targets: readonly ZoneWish[]): ZoneWish[] {
+    const expected = zones.reduce((sum, zone, at) => sum + countExpected(zone, targets[at]), 0);
+    let shortfall = leastNeeded - expected;
     const byPrice = zones.map((zone, at) => ({ zone, at })).sort((a, b) => a.zone.price - b.zone.price);
-    const planned = [...wishes];
+    const planned = [...targets];
     for (const { zone, at } of byPrice) {
-        const wish = planned[at];
-        const room = Math.min(Math.floor(most * STEADY_SHARE), most - zone.reclaimable.ready) - wish.steady;
-        const added = clamp(missing, 0, Math.max(0, room));
-        planned[at] = { ...wish, steady: wish.steady + added };
-        missing -= added;
+        const target = planned[at];
+        const freeCount = Math.min(Math.floor(most * MAX_STEADY_SHARE), most - zone.reclaimable.ready) - target.steady;
+        const added = clamp(shortfall, 0, Math.max(0, freeCount));
+        planned[at] = { ...target, steady: target.steady + added };
+        shortfall -= added;
     }
     return planned;
 }
 
-function carriedBy({ reclaimable }: ZoneSituation, wish: ZoneWish): number {
-    const coming = reclaimable.soldOut ? reclaimable.ready : Math.max(reclaimable.ready, wish.reclaimable);
-    return wish.steady + coming;
+function countExpected({ reclaimable }: ZoneSituation, target: ZoneWish): number {
+    const expectedReclaimable = reclaimable.soldOut
+        ? reclaimable.ready
+        : Math.max(reclaimable.ready, target.reclaimable);
+    return target.steady + expectedReclaimable;
 }
 
-function planSteady({ zones, least, most, needed }: PoolSituation): ZoneWish[] {
+function planSteady({ zones, least, most, needed }: PoolPlanInput): ZoneWish[] {
     const perZone = clamp(Math.ceil(needed / zones.length), least, most);
     return zones.map(({ zone }) => ({ zone, steady: perZone, reclaimable: 0 }));
 }
--- a/src/purchase/zonePlan/test.ts
+++ b/src/purchase/zonePlan/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ZoneId } from "../../ids/index.js";
-import { planZones, PoolSituation, ZoneSituation } from "./index.js";
+import { planZones, PoolPlanInput, ZoneSituation } from "./index.js";
 
 const NONE = { ready: 0, ordered: undefined, soldOut: false };
 
@@ -9,34 +9,35 @@
     return { zone: name as ZoneId, price: 1, steady: NONE, reclaimable: NONE, ...parts };
 }
 
-function plan(zones: readonly ZoneSituation[], parts: Partial<PoolSituation> = {}): [number, number][] {
-    const situation = { zones, least: 1, most: 4, reclaimablePrice: 0.18, needed: 6, leastNeeded: 6, ...parts };
-    return planZones(situation).map(({ steady, reclaimable }) => [steady, reclaimable]);
+function planCounts(zones: readonly ZoneSituation[], parts: Partial<PoolPlanInput> = {}): [number, number][] {
+    const input = { zones, least: 1, most: 4, reclaimablePrice: 0.18, needed: 6, leastNeeded: 6, ...parts };
+    return planZones(input).map(({ steady, reclaimable }) => [steady, reclaimable]);
 }
 
 const NAMES = ["a", "b", "c", "d"];
 
 describe("planZones", () => {
-    it("orders reclaimable upstreams that carry the load without any one zone", () => {
-        // The platform takes back all reclaimable upstreams of a zone. Six are needed, so that three zones must have them.
+    it("orders enough reclaimable upstreams to serve the load without any one zone", () => {
+        // The platform may take back all reclaimable upstreams of a zone: six are needed, so any three zones must have six.
         const steady = { ...NONE, ready: 2 };
-        assert.deepEqual(plan(NAMES.map(name => zone(name, { steady }))), [[2, 2], [2, 2], [2, 2], [2, 2]]);
+        assert.deepEqual(planCounts(NAMES.map(name => zone(name, { steady }))), [[2, 2], [2, 2], [2, 2], [2, 2]]);
     });
 
-    it("gives a steady one back for each reclaimable one that serves in its zone", () => {
-        // A zone may have four upstreams of both kinds together: with two steady ones, only two reclaimable ones can come.
+    it("releases a steady upstream for each reclaimable one that serves in its zone", () => {
+        // A zone may have four upstreams of both kinds together: with two steady ones, only two reclaimable ones can start.
         const steady = { ...NONE, ready: 2 };
         const taken = zone("a", { steady, reclaimable: { ready: 3, ordered: 3, soldOut: false } });
         const coming = zone("b", { steady, reclaimable: { ready: 2, ordered: 3, soldOut: false } });
         const waiting = zone("c", { steady, reclaimable: { ready: 0, ordered: 3, soldOut: false } });
-        assert.deepEqual(plan([taken, coming, waiting, zone("d")], { needed: 8 }).slice(0, 3), [[0, 3], [1, 3], [
+        assert.deepEqual(planCounts([taken, coming, waiting, zone("d")], { needed: 8 }).slice(0, 3), [[0, 3], [1, 3], [
             2,
             3,
         ]]);
     });
 
-    it("buys steady ones, the cheapest first, while reclaimable ones are sold out", () => {
-        // Two zones are taken back at once, and for a while the platform has none left anywhere: what serves is too little.
+    it("buys steady upstreams, the cheapest first, while reclaimable ones are sold out", () => {
+        // Two zones are taken back at once, and for a while the platform has no reclaimable upstreams left in any zone: the
+        // remaining ones are too few.
         const soldOut = { ready: 0, ordered: 2, soldOut: true };
         const serving = { ready: 2, ordered: 2, soldOut: true };
         const zones = [
@@ -45,64 +46,72 @@
             zone("c", { reclaimable: serving }),
             zone("d", { reclaimable: serving }),
         ];
-        assert.deepEqual(plan(zones), [[0, 2], [2, 2], [0, 2], [0, 2]]);
+        assert.deepEqual(planCounts(zones), [[0, 2], [2, 2], [0, 2], [0, 2]]);
     });
 
-    it("buys steady ones only where they find room beside reclaimable ones", () => {
-        // Two zones are taken back. The cheapest is the one that still has its reclaimable engines, as many as it may have: those
-        // that were ordered there never came, and callers waited for all of the shortage.
+    it("buys steady upstreams only in zones with room beside the reclaimable ones", () => {
+        // Two zones are taken back. The cheapest zone is the one that still has its maximum of reclaimable upstreams: steady ones
+        // ordered there never started, and callers waited throughout the shortage.
         const soldOut = { ready: 0, ordered: 2, soldOut: true };
         const zones = [
             zone("a", { reclaimable: { ready: 4, ordered: 4, soldOut: false }, price: 0.5 }),
             zone("b", { reclaimable: soldOut }),
             zone("c", { reclaimable: soldOut }),
         ];
-        assert.deepEqual(plan(zones, { leastNeeded: 7 }).map(([steady]) => steady), [0, 2, 1]);
+        assert.deepEqual(planCounts(zones, { leastNeeded: 7 }).map(([steady]) => steady), [0, 2, 1]);
     });
 
-    it("buys no steady one for comfort", () => {
-        // The load would like six upstreams and can do with four, which the other zones have.
+    it("buys no steady upstream beyond the minimum need", () => {
+        // Six upstreams would serve the load well and four are enough, which the other zones have.
         const soldOut = { ready: 0, ordered: 2, soldOut: true };
         const serving = { ready: 2, ordered: 2, soldOut: true };
         const zones = [
             zone("a", { reclaimable: soldOut }),
             ...["b", "c"].map(name => zone(name, { reclaimable: serving })),
         ];
-        assert.deepEqual(plan(zones, { leastNeeded: 4 }).map(([steady]) => steady), [0, 0, 0]);
+        assert.deepEqual(planCounts(zones, { leastNeeded: 4 }).map(([steady]) => steady), [0, 0, 0]);
     });
 
-    it("makes room for reclaimable ones where steady ones fill the zone", () => {
-        // Steady engines were bought while no others were to be had. They filled the zone, so that no reclaimable one could ever
-        // come back beside them, and were paid for to the end of the day.
+    it("releases steady upstreams where they fill the zone, so that reclaimable ones can start", () => {
+        // Steady upstreams were bought while reclaimable ones were sold out. They filled the zone, so that no reclaimable one could
+        // start beside them again, and were paid for until the end of the day.
         const steady = { ready: 4, ordered: 4, soldOut: false };
         const reclaimable = { ready: 0, ordered: 2, soldOut: false };
         const others = ["b", "c", "d"].map(name =>
             zone(name, { reclaimable: { ready: 2, ordered: 2, soldOut: false } })
         );
-        const [[kept]] = plan([zone("a", { steady, reclaimable }), ...others], { leastNeeded: 2 });
+        const [[kept]] = planCounts([zone("a", { steady, reclaimable }), ...others], { leastNeeded: 2 });
         assert.equal(kept, 2);
     });
 
-    it("keeps to the most that a zone may have", () => {
-        assert.deepEqual(plan(NAMES.map(name => zone(name)), { needed: 40 }).map(([, reclaimable]) => reclaimable), [
-            4,
-            4,
-            4,
-            4,
-        ]);
+    it("stays within a zone's maximum", () => {
+        assert.deepEqual(
+            planCounts(NAMES.map(name => zone(name)), { needed: 40 }).map(([, reclaimable]) => reclaimable),
+            [
+                4,
+                4,
+                4,
+                4,
+            ],
+        );
     });
 
-    it("orders steady ones alone where reclaimable ones cost as much", () => {
-        assert.deepEqual(plan(NAMES.map(name => zone(name)), { reclaimablePrice: 0.95 }), [[2, 0], [2, 0], [2, 0], [
-            2,
-            0,
-        ]]);
+    it("orders only steady upstreams where reclaimable ones cost about as much", () => {
+        assert.deepEqual(planCounts(NAMES.map(name => zone(name)), { reclaimablePrice: 0.95 }), [
+            [2, 0],
+            [2, 0],
+            [2, 0],
+            [
+                2,
+                0,
+            ],
+        ]);
     });
 
-    it("plans the other zones as if an evacuated one were not there, and leaves it as it is", () => {
-        // Guards against a zone that is lost while another one is evacuated, and against engines that are cold once it is restored.
+    it("plans the other zones as if an evacuated one were absent, and leaves that one as it is", () => {
+        // Prevents a shortage when a zone is lost while another one is evacuated, and cold upstreams once that one is restored.
         const ready = { ready: 3, ordered: 3, soldOut: false };
         const zones = NAMES.map(name => zone(name, { reclaimable: ready, isEvacuated: name === "b" }));
-        assert.deepEqual(plan(zones, { needed: 8, most: 9 }), [[0, 4], [0, 3], [0, 4], [0, 4]]);
+        assert.deepEqual(planCounts(zones, { needed: 8, most: 9 }), [[0, 4], [0, 3], [0, 4], [0, 4]]);
     });
 });
