--- a/src/ledger/callCommands/index.ts
+++ b/src/ledger/callCommands/index.ts
@@ -1,19 +1,20 @@
 import { IdempotencyKey, RequestId, WorkspaceId } from "../../ids/index.js";
 import { UsageSum } from "../../usage/index.js";
 
-/** Opens the record of a non-repeatable call before it may leave. */
+/** Opens the record of a non-repeatable call; committed before the call may be sent. */
 export interface BeginCallCommand {
     readonly kind: "call.begin";
     readonly workspace: WorkspaceId;
     readonly key: IdempotencyKey;
     /** SHA-256 of method, path and body. */
     readonly digest: string;
+    /** The request that will send the call. */
     readonly request: RequestId;
     readonly host: string;
     readonly incarnation: string;
 }
 
-/** A recorded answer of a non-repeatable call. */
+/** The recorded response to a non-repeatable call. */
 export interface CallAnswer {
     readonly status: number;
     readonly contentType: string;
@@ -21,8 +22,12 @@
 }
 
 /**
- * `opened`: the call may be sent, by this request alone. `running`: another request has it open. `answered`: it has run.
- * `unknown`: it may have run, and its answer is lost. `mismatch`: the key came with another body.
+ * Result of opening a record.
+ * `opened`: this request, and no other, may send the call.
+ * `running`: another request has the record open.
+ * `answered`: the call has run, and its answer is recorded.
+ * `unknown`: the call may have run, and its answer is lost.
+ * `mismatch`: the idempotency key was used before with another method, path or body.
  */
 export type BeginCallResult =
     | { readonly state: "opened"; }
@@ -32,8 +37,8 @@
     | { readonly state: "mismatch"; };
 
 /**
- * Closes the record. `answered` keeps the answer for resends, `unknown` says that the call may have run, `not-run`
- * removes the record: only when no byte of the call can have left.
+ * Closes a record. `answered` keeps the answer for resends; `unknown` means that the call may have run; `not-run` lets another request
+ * open the record again, and is allowed only when no byte of the call can have been sent.
  */
 export interface FinishCallCommand {
     readonly kind: "call.finish";
@@ -42,11 +47,11 @@
     readonly request: RequestId;
     readonly outcome: "answered" | "unknown" | "not-run";
     readonly answer?: CallAnswer;
-    /** What the call is billed as, counted with the first "answered" of its record and never again. */
+    /** Usage to bill for the call; counted with the first `answered` of its record and never again. */
     readonly usage?: UsageSum;
 }
 
-/** Records of a host that has ended for good become `unknown`. */
+/** Closes the open records of a run of an entry that has ended permanently as `unknown`. */
 export interface AbandonCallsCommand {
     readonly kind: "call.abandon";
     readonly host: string;
--- a/src/ledger/callLedger/index.ts
+++ b/src/ledger/callLedger/index.ts
@@ -8,12 +8,12 @@
     FinishCallCommand,
 } from "../callCommands/index.js";
 
-/** How long a finished call's record is kept, in milliseconds: a resend within it meets the record. */
+/** Retention of a finished call's record: a resend within this time finds it. */
 export const CALL_RETENTION_MS = 24 * 3_600_000;
-/** How many bytes of answers are kept; beyond it the oldest answers go, and their records say "unknown". */
-export const ANSWER_BYTES_KEPT = 32 * 1024 * 1024;
+/** Total size of the answers kept; beyond it the oldest answers are dropped, and their records become `unknown`. */
+export const MAX_ANSWER_BYTES = 32 * 1024 * 1024;
 
-/** Where a call stands. `not-run`: no byte of it left; it may be begun again, by another request. */
+/** State of a call. `not-run`: no byte of it was sent; another request may open its record again. */
 type CallState = "running" | "answered" | "unknown" | "not-run";
 
 /** One non-repeatable call. */
@@ -27,72 +27,74 @@
     readonly incarnation: string;
     readonly state: CallState;
     readonly answer?: CallAnswer;
-    /** When it was begun or finished, in milliseconds since the epoch. */
+    /** Time at which it was opened or closed, in milliseconds since the epoch. */
     readonly at: number;
 }
 
-/** One run of an entry. */
+/** One run of an entry process. */
 export interface EntryRun {
     readonly host: string;
     readonly incarnation: string;
 }
 
-/** What a finish or an abandonment did. */
+/** Result of finishing or abandoning calls. */
 export interface LedgerChange {
+    /** Number of records closed. */
     readonly changed: number;
 }
 
 /**
- * The records of non-repeatable calls.
+ * Records of non-repeatable calls by workspace and idempotency key, as state of the control log.
  *
- * Guards against a call that runs twice: the caller lost its answer and resends, perhaps through another host. The record is
- * committed before the call leaves, so the second request finds it, and only the request that opened it may send.
+ * Prevents a call from running twice when its caller has lost the answer and resends it, perhaps through another host: the record is
+ * committed before the call is sent, so the second request finds it, and only the request that opened it may send the call.
  *
  * @example
  * const result = ledger.begin(command, context);
  */
 export class CallLedger {
     private readonly running = new Map<string, CallRecord>();
-    /** In the order of their end. */
+    /** In the order in which they finished. */
     private readonly finished = new Map<string, CallRecord>();
-    /** Names of the finished records that still have their answer, in the order of their end. */
-    private readonly withAnswer = new Set<string>();
+    /** Keys of the finished records that still have their answer, in the order in which they finished. */
+    private readonly keysWithAnswer = new Set<string>();
     private answerBytes = 0;
 
+    /** Opens a record, or returns the state of the existing one. */
     begin(command: BeginCallCommand, context: ApplyContext): BeginCallResult {
         this.expire(context.proposedAt);
-        const name = nameRecord(command);
-        const record = this.running.get(name) ?? this.finished.get(name);
-        if (!record) return this.open(command, context);
-        if (record.digest !== command.digest) return { state: "mismatch" };
-        if (record.state === "running") return this.joinRunning(record, command);
-        if (record.state === "answered") return { state: "answered", answer: record.answer! };
-        // A begin that was held up in the network and comes after its own request's end must not open the record again:
-        // nobody would ever close it.
-        if (record.state === "not-run" && record.request !== command.request) return this.open(command, context);
+        const recordKey = makeRecordKey(command);
+        const existing = this.running.get(recordKey) ?? this.finished.get(recordKey);
+        if (!existing) return this.open(command, context);
+        if (existing.digest !== command.digest) return { state: "mismatch" };
+        if (existing.state === "running") return this.joinRunning(existing, command);
+        if (existing.state === "answered") return { state: "answered", answer: existing.answer! };
+        // A delayed copy of a begin that arrives after its own request has finished must not open the record again: nothing
+        // would ever close it.
+        if (existing.state === "not-run" && existing.request !== command.request) return this.open(command, context);
         return { state: "unknown" };
     }
 
-    /** Closes a record. Only the request that opened it may, and an answer that stands is never replaced. */
+    /** Closes a record. Only the request that opened it may do so, and a recorded answer is never replaced. */
     finish(command: FinishCallCommand, context: ApplyContext): LedgerChange {
-        const name = nameRecord(command);
-        const record = this.running.get(name) ?? this.finished.get(name);
-        if (!record || record.request !== command.request) return { changed: 0 };
-        if (record.state === "answered" || record.state === "not-run") return { changed: 0 };
+        const recordKey = makeRecordKey(command);
+        const existing = this.running.get(recordKey) ?? this.finished.get(recordKey);
+        if (!existing || existing.request !== command.request) return { changed: 0 };
+        if (existing.state === "answered" || existing.state === "not-run") return { changed: 0 };
         const answer = command.outcome === "answered" ? command.answer : undefined;
-        this.close(name, { ...record, answer, state: command.outcome, at: context.proposedAt });
+        this.close(recordKey, { ...existing, answer, state: command.outcome, at: context.proposedAt });
         this.expire(context.proposedAt);
         return { changed: 1 };
     }
 
-    /** Calls of an entry that has ended may have run: nobody can say any more. */
+    /** Closes the open records of a run that has ended as `unknown`: its calls may or may not have run. */
     abandon(command: AbandonCallsCommand, context: ApplyContext): LedgerChange {
         const lost = [...this.running].filter(([, record]) => isSameRun(record, command));
-        for (const [name, record] of lost) this.close(name, { ...record, state: "unknown", at: context.proposedAt });
+        for (const [key, record] of lost) this.close(key, { ...record, state: "unknown", at: context.proposedAt });
         return { changed: lost.length };
     }
 
-    /** The runs of entries that have calls open. */
+    /** Lists the runs of entries that have open records. */
     listOpenRuns(): readonly EntryRun[] {
         const runs = new Map<string, EntryRun>();
         for (const { host, incarnation } of this.running.values()) {
@@ -101,6 +103,7 @@
         return [...runs.values()];
     }
 
+    /** Number of records, open and finished. */
     get size(): number {
         return this.running.size + this.finished.size;
     }
@@ -112,70 +115,70 @@
     restore(records: readonly CallRecord[]): void {
         this.running.clear();
         this.finished.clear();
-        this.withAnswer.clear();
+        this.keysWithAnswer.clear();
         this.answerBytes = 0;
         for (const record of records) {
-            if (record.state === "running") this.running.set(nameRecord(record), record);
-            else this.keepFinished(nameRecord(record), record);
+            if (record.state === "running") this.running.set(makeRecordKey(record), record);
+            else this.storeFinished(makeRecordKey(record), record);
         }
     }
 
     private open(command: BeginCallCommand, context: ApplyContext): BeginCallResult {
-        const name = nameRecord(command);
+        const recordKey = makeRecordKey(command);
         const { workspace, key, digest, request, host, incarnation } = command;
-        this.dropFinished(name);
+        this.dropFinished(recordKey);
         const at = context.proposedAt;
-        this.running.set(name, { workspace, key, digest, request, host, incarnation, state: "running", at });
+        this.running.set(recordKey, { workspace, key, digest, request, host, incarnation, state: "running", at });
         return { state: "opened" };
     }
 
     private joinRunning(record: CallRecord, command: BeginCallCommand): BeginCallResult {
         const { request, host, incarnation } = record;
-        // The same request asks again after a lost answer: it has not sent the call yet.
+        // The same request retries its begin after the result was lost: it has not sent the call yet.
         if (request === command.request && isSameRun(record, command)) return { state: "opened" };
         return { state: "running", request, host, incarnation };
     }
 
-    private close(name: string, record: CallRecord): void {
-        this.running.delete(name);
-        this.dropFinished(name);
-        this.keepFinished(name, record);
+    private close(recordKey: string, record: CallRecord): void {
+        this.running.delete(recordKey);
+        this.dropFinished(recordKey);
+        this.storeFinished(recordKey, record);
     }
 
-    private keepFinished(name: string, record: CallRecord): void {
-        this.finished.set(name, record);
+    private storeFinished(recordKey: string, record: CallRecord): void {
+        this.finished.set(recordKey, record);
         if (!record.answer) return;
-        this.withAnswer.add(name);
+        this.keysWithAnswer.add(recordKey);
         this.answerBytes += record.answer.body.length;
     }
 
-    private dropFinished(name: string): void {
-        this.answerBytes -= this.finished.get(name)?.answer?.body.length ?? 0;
-        this.finished.delete(name);
-        this.withAnswer.delete(name);
+    private dropFinished(recordKey: string): void {
+        this.answerBytes -= this.finished.get(recordKey)?.answer?.body.length ?? 0;
+        this.finished.delete(recordKey);
+        this.keysWithAnswer.delete(recordKey);
     }
 
     private expire(now: number): void {
-        for (const [name, record] of this.finished) {
+        for (const [recordKey, record] of this.finished) {
             if (now - record.at <= CALL_RETENTION_MS) break;
-            this.dropFinished(name);
+            this.dropFinished(recordKey);
         }
-        for (const name of this.withAnswer) {
-            if (this.answerBytes <= ANSWER_BYTES_KEPT) return;
-            this.forgetAnswer(name);
+        for (const recordKey of this.keysWithAnswer) {
+            if (this.answerBytes <= MAX_ANSWER_BYTES) return;
+            this.dropAnswer(recordKey);
         }
     }
 
-    /** The call stays known, so that it never runs again. */
-    private forgetAnswer(name: string): void {
-        const record = this.finished.get(name)!;
+    /** Drops a record's answer to save memory. The record stays, so that the call never runs again. */
+    private dropAnswer(recordKey: string): void {
+        const record = this.finished.get(recordKey)!;
         this.answerBytes -= record.answer!.body.length;
-        this.withAnswer.delete(name);
-        this.finished.set(name, { ...record, answer: undefined, state: "unknown" });
+        this.keysWithAnswer.delete(recordKey);
+        this.finished.set(recordKey, { ...record, answer: undefined, state: "unknown" });
     }
 }
 
-function nameRecord({ workspace, key }: { workspace: WorkspaceId; key: IdempotencyKey; }): string {
+function makeRecordKey({ workspace, key }: { workspace: WorkspaceId; key: IdempotencyKey; }): string {
     return `${workspace}\n${key}`;
 }
 
--- a/src/ledger/index.ts
+++ b/src/ledger/index.ts
@@ -1,3 +1,3 @@
-/** At-most-once records of non-repeatable calls. */
+/** Records of non-repeatable calls, which ensure that each call runs at most once. */
 export * from "./callCommands/index.js";
 export * from "./callLedger/index.js";
