--- a/src/workspace/_lib/sharedValues.ts
+++ b/src/workspace/_lib/sharedValues.ts
@@ -1,20 +1,20 @@
-/** Beyond this many the table starts anew; what is shared already stays so. */
-const MOST_SHARED = 4_096;
+/** Above this size the pool is cleared; values that are shared already stay shared. */
+const MAX_INTERNED_COUNT = 4_096;
 
-/** Keeps one copy of equal values that come with many records. */
+/** Interns values: records that hold equal values share one copy, to save memory. Values are equal if their JSON is. */
 export class SharedValues {
     private readonly values = new Map<string, unknown>();
 
-    /** The first value given that was equal to this one. */
-    share<Value>(value: Value): Value {
-        if (this.values.size > MOST_SHARED) this.values.clear();
-        const text = JSON.stringify(value);
-        if (!this.values.has(text)) this.values.set(text, value);
-        return this.values.get(text) as Value;
+    /** Returns the first interned value that equals this one. */
+    intern<Value>(value: Value): Value {
+        if (this.values.size > MAX_INTERNED_COUNT) this.values.clear();
+        const json = JSON.stringify(value);
+        if (!this.values.has(json)) this.values.set(json, value);
+        return this.values.get(json) as Value;
     }
 }
 
-/** A text read from a log entry may be a slice that keeps the whole entry in memory; a copy does not. */
-export function copyText<Text extends string>(text: Text): Text {
-    return Buffer.from(text).toString() as Text;
+/** Copies a string: one decoded from a log entry may be a slice that keeps the whole entry in memory. */
+export function copyString<Text extends string>(value: Text): Text {
+    return Buffer.from(value).toString() as Text;
 }
--- a/src/workspace/change/index.ts
+++ b/src/workspace/change/index.ts
@@ -1,38 +1,39 @@
 import type { ChangeId, KeyHash, KeyId, Revision, TemplateName, WorkspaceId } from "../../ids/index.js";
 import type { ParameterAssignment, TemplateSpec } from "../template/index.js";
 
-/** What each change of the configuration carries. */
+/** Fields of every configuration change. */
 interface ChangeBase {
-    /** Made by the operator's tool and kept over resends: a change seen before gets its first answer again. */
+    /** Created by the operator's tool and kept when it resends the change: a change applied before gets its first result again. */
     readonly changeId: ChangeId;
-    /** Who asks, for the one who loses a race. */
+    /** Name of the operator, reported to the one whose concurrent change is refused as a conflict. */
     readonly operator: string;
 }
 
-/** Makes a template or edits it. */
+/** Creates or replaces a template. */
 export interface PutTemplateChange extends ChangeBase {
     readonly kind: "template.put";
     readonly name: TemplateName;
     readonly spec: TemplateSpec;
-    /** The template's revision that the edit was made against; 0 for a new one. */
+    /** Revision of the template that the edit is based on; 0 for a new template. */
     readonly base: number;
 }
 
-/** Makes a workspace from a template. */
+/** Creates a workspace from a template. */
 export interface CreateWorkspaceChange extends ChangeBase {
     readonly kind: "workspace.create";
     readonly id: WorkspaceId;
     readonly template: TemplateName;
     readonly parameters: readonly ParameterAssignment[];
+    /** Tokens per usage window; takes precedence over the template's limit. */
     readonly tokenLimit?: number;
 }
 
-/** Sets a workspace's own token limit for each usage window; without one, the template's holds again. */
+/** Sets a workspace's own token limit per usage window, or removes it, so that the template's limit applies. */
 export interface LimitWorkspaceChange extends ChangeBase {
     readonly kind: "workspace.limit";
     readonly id: WorkspaceId;
     readonly tokenLimit?: number;
-    /** The workspace's revision that the edit was made against. */
+    /** Revision of the workspace that the edit is based on. */
     readonly base: number;
 }
 
@@ -40,10 +41,11 @@
 export interface RemoveWorkspaceChange extends ChangeBase {
     readonly kind: "workspace.remove";
     readonly id: WorkspaceId;
+    /** Revision of the workspace that the removal is based on. */
     readonly base: number;
 }
 
-/** Grants a key. The key itself stays with the operator; only its hash is sent and kept. */
+/** Grants an API key to a workspace. The key itself stays with the operator; only its hash is sent and stored. */
 export interface GrantKeyChange extends ChangeBase {
     readonly kind: "key.grant";
     readonly workspace: WorkspaceId;
@@ -51,7 +53,7 @@
     readonly hash: KeyHash;
 }
 
-/** Withdraws a key for good. */
+/** Revokes a key permanently. */
 export interface WithdrawKeyChange extends ChangeBase {
     readonly kind: "key.withdraw";
     readonly keyId: KeyId;
@@ -66,12 +68,11 @@
     | GrantKeyChange
     | WithdrawKeyChange;
 
-/** Why a change was refused whatever the numbers. */
+/** Why a change was refused, apart from a revision conflict. */
 export type ChangeRefusal = "not-found" | "exists" | "invalid" | "withdrawn" | "change-id-reused";
 
 /**
- * What became of a change. `conflict`: the thing has moved on since `base`; `winner` made the change that stands, at
- * `revision`.
+ * Result of a change. `conflict`: the item was changed after revision `base`; the operator `winner` made its last change, at `revision`.
  */
 export type ChangeResult =
     | { readonly kind: "done"; readonly revision: Revision; }
--- a/src/workspace/changeMemory/index.ts
+++ b/src/workspace/changeMemory/index.ts
@@ -2,46 +2,47 @@
 import type { ChangeResult } from "../change/index.js";
 
 const RETENTION_MS = 24 * 3_600_000;
-const MOST_REMEMBERED = 20_000;
+const MAX_RESULT_COUNT = 20_000;
 
-/** A change that was answered. */
-export interface RememberedChange {
+/** The result of an applied change, kept for resends. */
+export interface StoredChangeResult {
     readonly changeId: ChangeId;
-    /** What it was about, so that an id used for two things is noticed. */
+    /** Kind and target of the change, to detect a change id that is reused for another change. */
     readonly subject: string;
     readonly result: ChangeResult;
+    /** Wall time at which the change was proposed, in milliseconds since the epoch. */
     readonly at: number;
 }
 
 /**
- * The answers given to changes of the last day.
+ * Results of the changes of the last day.
  *
- * Guards against a change applied twice: an operator whose answer was lost sends the same change again, and it would
- * meet its own first run as a conflict. With the first answer kept, the resend gets just that.
+ * Prevents a change from being applied twice: an operator whose answer was lost resends the change, which would conflict with its own
+ * first application. With the first result stored, the resend gets that result.
  */
 export class ChangeMemory {
-    private readonly remembered = new Map<ChangeId, RememberedChange>();
+    private readonly results = new Map<ChangeId, StoredChangeResult>();
 
-    find(changeId: ChangeId): RememberedChange | undefined {
-        return this.remembered.get(changeId);
+    find(changeId: ChangeId): StoredChangeResult | undefined {
+        return this.results.get(changeId);
     }
 
-    /** Keeps an answer, and lets go of those that are too old or too many. */
-    remember(change: RememberedChange): void {
-        this.remembered.set(change.changeId, change);
-        for (const oldest of this.remembered.values()) {
-            const expired = change.at - oldest.at > RETENTION_MS;
-            if (!expired && this.remembered.size <= MOST_REMEMBERED) return;
-            this.remembered.delete(oldest.changeId);
+    /** Stores a result, and removes the oldest ones beyond the retention or the maximum count. */
+    add(change: StoredChangeResult): void {
+        this.results.set(change.changeId, change);
+        for (const oldest of this.results.values()) {
+            const isExpired = change.at - oldest.at > RETENTION_MS;
+            if (!isExpired && this.results.size <= MAX_RESULT_COUNT) return;
+            this.results.delete(oldest.changeId);
         }
     }
 
-    snapshot(): readonly RememberedChange[] {
-        return [...this.remembered.values()];
+    snapshot(): readonly StoredChangeResult[] {
+        return [...this.results.values()];
     }
 
-    restore(changes: readonly RememberedChange[]): void {
-        this.remembered.clear();
-        for (const change of changes) this.remembered.set(change.changeId, change);
+    restore(changes: readonly StoredChangeResult[]): void {
+        this.results.clear();
+        for (const change of changes) this.results.set(change.changeId, change);
     }
 }
--- a/src/workspace/key/index.ts
+++ b/src/workspace/key/index.ts
@@ -6,18 +6,19 @@
 const KEY_PREFIX = "sqx_";
 
 /**
- * Makes a key. It is shown to the operator once and kept nowhere.
+ * Creates an API key. It is shown to the operator once and stored nowhere.
  *
- * @param random - A source fit for secrets.
- * @returns The key, as callers send it: `sqx_` and 32 hex digits, so that one that stands in the wrong place is found.
+ * @param random - A cryptographically secure source.
+ * @returns The key, as callers send it: `sqx_` and 32 hex digits; the prefix makes a leaked key easy to find.
  */
 export function createKey(random: Random): string {
     return KEY_PREFIX + Buffer.from(random.bytes(KEY_BYTES)).toString("hex");
 }
 
 /**
- * The form in which a key is kept and compared: SHA-256, in hex.
+ * Hashes a key for storage and comparison.
  *
+ * @returns SHA-256 of the key in lower case, in hex.
  * @example
  * cache.findByKey(hashKey(bearerToken));
  */
--- a/src/workspace/keyRing/index.ts
+++ b/src/workspace/keyRing/index.ts
@@ -1,104 +1,105 @@
 import type { ChangeId, KeyHash, KeyId, Revision, WorkspaceId } from "../../ids/index.js";
-import { copyText, SharedValues } from "../_lib/sharedValues.js";
+import { copyString, SharedValues } from "../_lib/sharedValues.js";
 import type { KeyView } from "../workspaceView/index.js";
 
-/** How long a withdrawn key's hash is kept, so that it can't be granted again. */
+/** Time for which a withdrawn key's hash is kept, so that it can't be granted again. */
 const WITHDRAWN_RETENTION_MS = 400 * 24 * 3_600_000;
 
-/** Who made the change that stands, and at which revision. */
-export interface Authorship {
+/** The last change of a configuration item: its author and the revision that it made. */
+export interface LastChange {
     readonly revision: Revision;
     readonly operator: string;
     readonly changeId: ChangeId;
 }
 
-/** A key, in force or withdrawn. */
-export interface KeyRecord extends Authorship {
+/** An API key, active or withdrawn. */
+export interface KeyRecord extends LastChange {
     readonly id: KeyId;
     readonly hash: KeyHash;
     readonly workspace: WorkspaceId;
     /** In milliseconds since the epoch. */
     readonly grantedAt: number;
+    /** In milliseconds since the epoch; undefined while the key is active. */
     readonly withdrawnAt?: number;
 }
 
 /**
- * The keys of all workspaces.
+ * The API keys of all workspaces, stored as hashes.
  *
- * Guards against a withdrawn key that works again: a grant that was held up, or one by an operator who does not know, brings
- * its hash once more. A withdrawn key's record outlives the withdrawal, and neither its id nor its hash is taken again.
+ * Prevents a withdrawn key from becoming valid again through a delayed grant, or a grant by an operator who is unaware of the
+ * withdrawal: the record of a withdrawn key is kept, and neither its id nor its hash is accepted again.
  *
  * @example
- * if (!ring.findTaken(keyId, hash)) ring.keep(record);
+ * if (!ring.findUsed(keyId, hash)) ring.put(record);
  */
 export class KeyRing {
     private readonly keys = new Map<KeyId, KeyRecord>();
     private readonly idsByHash = new Map<KeyHash, KeyId>();
-    /** In the order of their withdrawal. */
-    private readonly withdrawn = new Set<KeyId>();
-    private readonly shared = new SharedValues();
+    /** Ids of the withdrawn keys, in the order of their withdrawal. */
+    private readonly withdrawnIds = new Set<KeyId>();
+    private readonly operators = new SharedValues();
 
     find(id: KeyId): KeyRecord | undefined {
         return this.keys.get(id);
     }
 
-    /** A key that has this id or this hash, withdrawn ones too. */
-    findTaken(id: KeyId, hash: KeyHash): KeyRecord | undefined {
+    /** Finds a key that has this id or this hash, including withdrawn keys. */
+    findUsed(id: KeyId, hash: KeyHash): KeyRecord | undefined {
         return this.keys.get(id) ?? this.keys.get(this.idsByHash.get(hash)!);
     }
 
-    /** The keys of a workspace, withdrawn ones too. */
+    /** Lists the keys of a workspace, including withdrawn keys. */
     list(workspace: WorkspaceId): readonly KeyRecord[] {
         return [...this.keys.values()].filter(key => key.workspace === workspace);
     }
 
-    /** A key as entries see it; undefined when it is withdrawn or was never granted. */
+    /** Returns a key as entries see it; undefined when it is withdrawn or was never granted. */
     view(hash: KeyHash): KeyView | undefined {
         const key = this.keys.get(this.idsByHash.get(hash)!);
         if (!key || key.withdrawnAt !== undefined) return undefined;
         return { hash, id: key.id, workspace: key.workspace };
     }
 
-    /** All keys in force, as entries see them. */
+    /** Returns all active keys, as entries see them. */
     viewAll(): readonly KeyView[] {
         return this.listActive().map(({ hash, id, workspace }) => ({ hash, id, workspace }));
     }
 
-    /** Takes in a key, or what has become of one. */
-    keep(key: KeyRecord): void {
-        const id = copyText(key.id);
-        const hash = copyText(key.hash);
+    /** Adds a key or replaces its record. */
+    put(key: KeyRecord): void {
+        const id = copyString(key.id);
+        const hash = copyString(key.hash);
         this.keys.set(id, {
             ...key,
             id,
             hash,
-            changeId: copyText(key.changeId),
-            operator: this.shared.share(key.operator),
+            changeId: copyString(key.changeId),
+            operator: this.operators.intern(key.operator),
         });
         this.idsByHash.set(hash, id);
-        if (key.withdrawnAt !== undefined) this.withdrawn.add(id);
+        if (key.withdrawnAt !== undefined) this.withdrawnIds.add(id);
     }
 
-    /** Marks a key as withdrawn, and forgets those withdrawn very long ago. */
-    withdraw(key: KeyRecord, author: Authorship, at: number): void {
-        this.keep({ ...key, ...author, withdrawnAt: at });
-        for (const id of this.withdrawn) {
+    /** Marks a key as withdrawn, and removes withdrawn keys past their retention. */
+    withdraw(key: KeyRecord, lastChange: LastChange, now: number): void {
+        this.put({ ...key, ...lastChange, withdrawnAt: now });
+        for (const id of this.withdrawnIds) {
             const oldest = this.keys.get(id)!;
-            if (at - oldest.withdrawnAt! <= WITHDRAWN_RETENTION_MS) return;
-            this.withdrawn.delete(id);
+            if (now - oldest.withdrawnAt! <= WITHDRAWN_RETENTION_MS) return;
+            this.withdrawnIds.delete(id);
             this.keys.delete(id);
             this.idsByHash.delete(oldest.hash);
         }
     }
 
-    /** Those in force first, then the withdrawn ones in the order of their withdrawal, which a restored ring keeps. */
+    /** Returns the active keys, then the withdrawn ones in the order of their withdrawal, so that a restore preserves that order. */
     snapshot(): readonly KeyRecord[] {
-        return [...this.listActive(), ...[...this.withdrawn].map(id => this.keys.get(id)!)];
+        return [...this.listActive(), ...[...this.withdrawnIds].map(id => this.keys.get(id)!)];
     }
 
     restore(keys: readonly KeyRecord[]): void {
-        for (const collection of [this.keys, this.idsByHash, this.withdrawn]) collection.clear();
-        for (const key of keys) this.keep(key);
+        for (const collection of [this.keys, this.idsByHash, this.withdrawnIds]) collection.clear();
+        for (const key of keys) this.put(key);
     }
 
     private listActive(): readonly KeyRecord[] {
--- a/src/workspace/template/index.ts
+++ b/src/workspace/template/index.ts
@@ -5,11 +5,12 @@
 
 const MAX_CLASSES = 32;
 const MAX_TIER = 6;
+/** A number, or a reference to a parameter: its name after `$`. */
 const numberOrParameter = z.union([z.number().min(0), z.string().regex(/^\$[a-zA-Z]\w*$/)]);
 
 /**
- * A template as operators write it. A number or a pool may be a parameter's name with `$` before it; each workspace
- * then gives the value.
+ * Schema of a template as operators write it. A number or a pool may be a reference to a parameter, written `$name`; each workspace
+ * provides the value.
  */
 export const templateSpecSchema = z.looseObject({
     parameters: z.array(z.looseObject({
@@ -30,6 +31,7 @@
     nonRepeatable: z.array(z.string().min(1)),
     tokenLimit: numberOrParameter.optional(),
 });
+/** A template as operators write it. */
 export type TemplateSpec = z.infer<typeof templateSpecSchema>;
 
 /** A parameter's value in one workspace. */
@@ -38,7 +40,7 @@
     readonly value: number | string;
 }
 
-/** What a template gives with its parameters filled in. */
+/** A template with its parameters replaced by a workspace's values. */
 export interface WorkspaceProfile {
     readonly weight: number;
     readonly classes: readonly ClassView[];
@@ -48,15 +50,15 @@
     readonly tokenLimit?: number;
 }
 
-/** A template, or a workspace's parameters, that make no sense. */
+/** A template or a workspace's parameters are invalid. */
 export class TemplateError extends Error {}
 
 /**
- * Fills in a template's parameters.
+ * Resolves a template's parameters.
  *
  * @param spec - The template.
- * @param assignments - The workspace's values; the template's defaults serve for the rest.
- * @returns The profile, or what is wrong.
+ * @param assignments - The workspace's values; parameters without one take the template's default.
+ * @returns The profile, or the reason why it can't be resolved.
  * @example
  * resolveTemplate(spec, [{ name: "budget", value: 50_000 }]);
  */
@@ -65,7 +67,7 @@
     assignments: readonly ParameterAssignment[],
 ): Either<TemplateError, WorkspaceProfile> {
     try {
-        return Right(new Resolver(spec, assignments).resolve());
+        return Right(new TemplateResolver(spec, assignments).resolve());
     }
     catch (err) {
         if (err instanceof TemplateError) return Left(err);
@@ -73,7 +75,7 @@
     }
 }
 
-class Resolver {
+class TemplateResolver {
     private readonly values = new Map<string, number | string>();
 
     constructor(private readonly spec: TemplateSpec, assignments: readonly ParameterAssignment[]) {
@@ -96,44 +98,44 @@
         if (!names.has(spec.defaultClass as ClassName)) {
             throw new TemplateError(`the default class ${spec.defaultClass} is not among the classes`);
         }
-        const weight = this.readNumber("weight", spec.weight);
+        const weight = this.resolveNumber("weight", spec.weight);
         if (weight <= 0) throw new TemplateError("weight must be above 0");
         return {
             weight,
             classes,
             defaultClass: spec.defaultClass as ClassName,
-            pools: spec.pools.map(pool => this.readText(pool) as PoolId),
-            nonRepeatable: spec.nonRepeatable.map(pool => this.readText(pool) as PoolId),
-            ...(spec.tokenLimit === undefined ? {} : { tokenLimit: this.readNumber("tokenLimit", spec.tokenLimit) }),
+            pools: spec.pools.map(pool => this.resolveText(pool) as PoolId),
+            nonRepeatable: spec.nonRepeatable.map(pool => this.resolveText(pool) as PoolId),
+            ...(spec.tokenLimit === undefined ? {} : { tokenLimit: this.resolveNumber("tokenLimit", spec.tokenLimit) }),
         };
     }
 
     private resolveClass(spec: TemplateSpec["classes"][number]): ClassView {
-        const guaranteedShare = this.readNumber("guaranteedShare", spec.guaranteedShare);
+        const guaranteedShare = this.resolveNumber("guaranteedShare", spec.guaranteedShare);
         if (guaranteedShare > 1) throw new TemplateError("guaranteedShare must be from 0 to 1");
         return {
             name: spec.name as ClassName,
             tier: spec.tier,
-            firstTokenMs: this.readNumber("firstTokenMs", spec.firstTokenMs),
-            tokenMs: this.readNumber("tokenMs", spec.tokenMs),
-            maxWaitMs: this.readNumber("maxWaitMs", spec.maxWaitMs),
+            firstTokenMs: this.resolveNumber("firstTokenMs", spec.firstTokenMs),
+            tokenMs: this.resolveNumber("tokenMs", spec.tokenMs),
+            maxWaitMs: this.resolveNumber("maxWaitMs", spec.maxWaitMs),
             guaranteedShare,
         };
     }
 
-    private readNumber(field: string, given: number | string): number {
-        const value = typeof given === "string" ? this.find(given) : given;
+    private resolveNumber(field: string, numberOrReference: number | string): number {
+        const value = typeof numberOrReference === "string" ? this.findValue(numberOrReference) : numberOrReference;
         if (typeof value !== "number" || !Number.isFinite(value) || value < 0) {
             throw new TemplateError(`${field} needs a number of at least 0, not ${value}`);
         }
         return value;
     }
 
-    private readText(given: string): string {
-        return given.startsWith("$") ? String(this.find(given)) : given;
+    private resolveText(textOrReference: string): string {
+        return textOrReference.startsWith("$") ? String(this.findValue(textOrReference)) : textOrReference;
     }
 
-    private find(reference: string): number | string {
+    private findValue(reference: string): number | string {
         const value = this.values.get(reference.slice(1));
         if (value === undefined) throw new TemplateError(`the parameter ${reference.slice(1)} has no value`);
         return value;
--- a/src/workspace/registry/index.ts
+++ b/src/workspace/workspaceRegistry/index.ts
@@ -1,6 +1,6 @@
 import type { ApplyContext } from "../../consensus/index.js";
 import type { KeyHash, Revision, TemplateName, WorkspaceId } from "../../ids/index.js";
-import { copyText, SharedValues } from "../_lib/sharedValues.js";
+import { copyString, SharedValues } from "../_lib/sharedValues.js";
 import type {
     ChangeRefusal,
     ChangeResult,
@@ -12,47 +12,50 @@
     RemoveWorkspaceChange,
     WithdrawKeyChange,
 } from "../change/index.js";
-import { ChangeMemory, RememberedChange } from "../changeMemory/index.js";
-import { Authorship, KeyRecord, KeyRing } from "../keyRing/index.js";
+import { ChangeMemory, StoredChangeResult } from "../changeMemory/index.js";
+import { KeyRecord, KeyRing, LastChange } from "../keyRing/index.js";
 import { ParameterAssignment, resolveTemplate, TemplateSpec, WorkspaceProfile } from "../template/index.js";
 import type { KeyView, WorkspaceView } from "../workspaceView/index.js";
 
-export interface TemplateRecord extends Authorship {
+/** A template and its last change. */
+export interface TemplateRecord extends LastChange {
     readonly name: TemplateName;
     readonly spec: TemplateSpec;
 }
 
-export interface WorkspaceRecord extends Authorship {
+/** A workspace and its last change. */
+export interface WorkspaceRecord extends LastChange {
     readonly id: WorkspaceId;
     readonly template: TemplateName;
     readonly parameters: readonly ParameterAssignment[];
-    /** Goes before the template's limit. */
+    /** Tokens per usage window; takes precedence over the template's limit. */
     readonly tokenLimit?: number;
 }
 
-/** What a change made entries' views differ in. */
+/** The workspaces and keys whose views at the entries are outdated by a change. */
 export interface TouchedViews {
     readonly workspaces: readonly WorkspaceId[];
     readonly keys: readonly KeyHash[];
 }
 
-/** A change's answer, and what it touched when it was done. */
+/** The result of a change, and the views that it affects if it was applied. */
 export interface ChangeOutcome {
     readonly result: ChangeResult;
     readonly touched?: TouchedViews;
 }
 
-/** The registry's whole state. */
+/** Complete state of the registry. */
 export interface RegistrySnapshot {
     readonly revision: number;
     readonly templates: readonly TemplateRecord[];
     readonly workspaces: readonly WorkspaceRecord[];
     readonly keys: readonly KeyRecord[];
-    readonly changes: readonly RememberedChange[];
+    readonly changes: readonly StoredChangeResult[];
 }
 
 /**
- * Templates, workspaces and keys, with the rules of their changes. Equal changes in an equal order give equal states.
+ * Templates, workspaces and keys, and the validation of their changes, as deterministic state of the control log: the same changes in
+ * the same order produce the same state.
  *
  * @example
  * const { result, touched } = registry.apply(change, context);
@@ -61,26 +64,26 @@
     private readonly templates = new Map<TemplateName, TemplateRecord>();
     private readonly workspaces = new Map<WorkspaceId, WorkspaceRecord>();
     private readonly keys = new KeyRing();
-    private readonly shared = new SharedValues();
-    private readonly memory = new ChangeMemory();
-    /** Resolved profiles by template and parameters: workspaces with the same ones share one object. */
-    private readonly profiles = new Map<TemplateName, Map<string, WorkspaceProfile>>();
-    private latest = 0;
+    private readonly sharedValues = new SharedValues();
+    private readonly changeResults = new ChangeMemory();
+    /** Resolved profiles by template and parameters (as JSON): workspaces with the same parameters share one object. */
+    private readonly profilesByTemplate = new Map<TemplateName, Map<string, WorkspaceProfile>>();
+    private latestRevision = 0;
 
-    /** The revision of the last change that was done; 0 before the first. */
+    /** Revision of the last applied change; 0 before the first. */
     get revision(): Revision {
-        return this.latest as Revision;
+        return this.latestRevision as Revision;
     }
 
-    /** Takes in a change; one that was answered before gets that answer again and touches nothing. */
+    /** Applies a change. A resent change gets its first result again and has no effect. */
     apply(change: ConfigChange, context: ApplyContext): ChangeOutcome {
         const subject = describeSubject(change);
-        const earlier = this.memory.find(change.changeId);
-        if (earlier?.subject === subject) return { result: earlier.result };
-        if (earlier) return refuse("change-id-reused", `the change id was used for ${earlier.subject}`);
+        const earlierResult = this.changeResults.find(change.changeId);
+        if (earlierResult?.subject === subject) return { result: earlierResult.result };
+        if (earlierResult) return refuse("change-id-reused", `the change id was used for ${earlierResult.subject}`);
         const outcome = this.applyNew(change, context);
-        if (outcome.touched) this.latest = context.index;
-        this.memory.remember({
+        if (outcome.touched) this.latestRevision = context.index;
+        this.changeResults.add({
             changeId: change.changeId,
             subject,
             result: outcome.result,
@@ -105,52 +108,52 @@
         return [...this.workspaces.values()];
     }
 
-    /** The keys of a workspace, withdrawn ones too. */
+    /** Lists the keys of a workspace, including withdrawn keys. */
     listKeys(workspace: WorkspaceId): readonly KeyRecord[] {
         return this.keys.list(workspace);
     }
 
-    /** A workspace as entries see it; undefined when it is not there. */
+    /** Returns a workspace as entries see it; undefined when it does not exist. */
     viewWorkspace(id: WorkspaceId): WorkspaceView | undefined {
         const record = this.workspaces.get(id);
         if (!record) return undefined;
-        const profile = this.profileOf(record.template, record.parameters);
+        const profile = this.resolveProfile(record.template, record.parameters);
         const tokenLimit = record.tokenLimit ?? profile.tokenLimit;
         return { id, template: record.template, ...profile, ...(tokenLimit === undefined ? {} : { tokenLimit }) };
     }
 
-    /** A key as entries see it; undefined when it is withdrawn or was never granted. */
+    /** Returns a key as entries see it; undefined when it is withdrawn or was never granted. */
     viewKey(hash: KeyHash): KeyView | undefined {
         return this.keys.view(hash);
     }
 
-    /** All keys in force, as entries see them. */
+    /** Returns all active keys, as entries see them. */
     viewKeys(): readonly KeyView[] {
         return this.keys.viewAll();
     }
 
-    /** A workspace's token limit for one usage window; undefined when it has none. */
+    /** Returns a workspace's token limit per usage window; undefined when it has none. */
     tokenLimit(id: WorkspaceId): number | undefined {
         return this.viewWorkspace(id)?.tokenLimit;
     }
 
     snapshot(): RegistrySnapshot {
         return {
-            revision: this.latest,
+            revision: this.latestRevision,
             templates: this.listTemplates(),
             workspaces: this.listWorkspaces(),
             keys: this.keys.snapshot(),
-            changes: this.memory.snapshot(),
+            changes: this.changeResults.snapshot(),
         };
     }
 
     restore(snapshot: RegistrySnapshot): void {
-        for (const map of [this.templates, this.workspaces, this.profiles]) map.clear();
-        this.latest = snapshot.revision;
+        for (const map of [this.templates, this.workspaces, this.profilesByTemplate]) map.clear();
+        this.latestRevision = snapshot.revision;
         for (const template of snapshot.templates) this.templates.set(template.name, template);
-        for (const workspace of snapshot.workspaces) this.keepWorkspace(workspace);
-        this.keys.restore(snapshot.keys.map(key => ({ ...key, workspace: this.ownId(key.workspace) })));
-        this.memory.restore(snapshot.changes);
+        for (const workspace of snapshot.workspaces) this.storeWorkspace(workspace);
+        this.keys.restore(snapshot.keys.map(key => ({ ...key, workspace: this.canonicalId(key.workspace) })));
+        this.changeResults.restore(snapshot.changes);
     }
 
     private applyNew(change: ConfigChange, context: ApplyContext): ChangeOutcome {
@@ -175,14 +178,14 @@
         const current = this.templates.get(name);
         if ((current?.revision ?? 0) !== change.base) return describeConflict(current, `template ${name}`);
         const users = [...this.workspaces.values()].filter(workspace => workspace.template === name);
-        // Equal parameters are shared, so each set of them is tried once.
-        const examples = new Map(users.map(workspace => [workspace.parameters, workspace]));
-        for (const workspace of examples.values()) {
+        // Equal parameters are interned, so each set of parameters is validated once.
+        const usersByParameters = new Map(users.map(workspace => [workspace.parameters, workspace]));
+        for (const workspace of usersByParameters.values()) {
             const problem = resolveTemplate(spec, workspace.parameters).swap().toMaybe().extract();
             if (problem) return refuse("invalid", `workspace ${workspace.id}: ${problem.message}`);
         }
-        this.templates.set(name, { name, spec, ...authorOf(change, context) });
-        this.profiles.delete(name);
+        this.templates.set(name, { name, spec, ...toLastChange(change, context) });
+        this.profilesByTemplate.delete(name);
         return done(context, { workspaces: users.map(workspace => workspace.id), keys: [] });
     }
 
@@ -195,7 +198,7 @@
         const problem = resolveTemplate(source.spec, parameters).swap().toMaybe().extract();
         if (problem) return refuse("invalid", problem.message);
         const limit = tokenLimit === undefined ? {} : { tokenLimit };
-        this.keepWorkspace({ id, template, parameters, ...limit, ...authorOf(change, context) });
+        this.storeWorkspace({ id, template, parameters, ...limit, ...toLastChange(change, context) });
         return done(context, { workspaces: [id], keys: [] });
     }
 
@@ -205,7 +208,7 @@
         if (!current || current.revision !== change.base) return describeConflict(current, `workspace ${id}`);
         const { template, parameters } = current;
         const limit = tokenLimit === undefined ? {} : { tokenLimit };
-        this.keepWorkspace({ id, template, parameters, ...limit, ...authorOf(change, context) });
+        this.storeWorkspace({ id, template, parameters, ...limit, ...toLastChange(change, context) });
         return done(context, { workspaces: [id], keys: [] });
     }
 
@@ -214,7 +217,7 @@
         const current = this.workspaces.get(id);
         if (!current || current.revision !== change.base) return describeConflict(current, `workspace ${id}`);
         const active = this.listKeys(id).filter(key => key.withdrawnAt === undefined);
-        for (const key of active) this.keys.withdraw(key, authorOf(change, context), context.proposedAt);
+        for (const key of active) this.keys.withdraw(key, toLastChange(change, context), context.proposedAt);
         this.workspaces.delete(id);
         return done(context, { workspaces: [id], keys: active.map(key => key.hash) });
     }
@@ -222,15 +225,15 @@
     private grantKey(change: GrantKeyChange, context: ApplyContext): ChangeOutcome {
         const { keyId, hash, workspace } = change;
         if (!this.workspaces.has(workspace)) return refuse("not-found", `there is no workspace ${workspace}`);
-        const earlier = this.keys.findTaken(keyId, hash);
-        if (earlier?.withdrawnAt !== undefined) return refuse("withdrawn", `the key ${earlier.id} was withdrawn`);
-        if (earlier) return refuse("exists", `the key ${earlier.id} is there already`);
-        this.keys.keep({
+        const existing = this.keys.findUsed(keyId, hash);
+        if (existing?.withdrawnAt !== undefined) return refuse("withdrawn", `the key ${existing.id} was withdrawn`);
+        if (existing) return refuse("exists", `the key ${existing.id} is there already`);
+        this.keys.put({
             id: keyId,
             hash,
-            workspace: this.ownId(workspace),
+            workspace: this.canonicalId(workspace),
             grantedAt: context.proposedAt,
-            ...authorOf(change, context),
+            ...toLastChange(change, context),
         });
         return done(context, { workspaces: [], keys: [hash] });
     }
@@ -239,35 +242,35 @@
         const key = this.keys.find(change.keyId);
         if (!key) return refuse("not-found", `there is no key ${change.keyId}`);
         if (key.withdrawnAt !== undefined) return { result: { kind: "done", revision: key.revision } };
-        this.keys.withdraw(key, authorOf(change, context), context.proposedAt);
+        this.keys.withdraw(key, toLastChange(change, context), context.proposedAt);
         return done(context, { workspaces: [], keys: [key.hash] });
     }
 
-    private keepWorkspace(record: WorkspaceRecord): void {
-        const id = copyText(record.id);
+    private storeWorkspace(record: WorkspaceRecord): void {
+        const id = copyString(record.id);
         this.workspaces.set(id, {
             ...record,
             id,
-            changeId: copyText(record.changeId),
-            template: this.shared.share(record.template),
-            parameters: this.shared.share(record.parameters),
-            operator: this.shared.share(record.operator),
+            changeId: copyString(record.changeId),
+            template: this.sharedValues.intern(record.template),
+            parameters: this.sharedValues.intern(record.parameters),
+            operator: this.sharedValues.intern(record.operator),
         });
     }
 
-    /** The workspace's own copy of its id: a key that holds another keeps its log entry in memory. */
-    private ownId(id: WorkspaceId): WorkspaceId {
+    /** Returns the stored copy of a workspace id. Another copy may be a slice that keeps its log entry in memory. */
+    private canonicalId(id: WorkspaceId): WorkspaceId {
         return this.workspaces.get(id)?.id ?? id;
     }
 
-    private profileOf(name: TemplateName, parameters: readonly ParameterAssignment[]): WorkspaceProfile {
-        const profiles = this.profiles.get(name) ?? new Map<string, WorkspaceProfile>();
-        this.profiles.set(name, profiles);
-        const signature = JSON.stringify(parameters);
-        const known = profiles.get(signature);
-        if (known) return known;
+    private resolveProfile(name: TemplateName, parameters: readonly ParameterAssignment[]): WorkspaceProfile {
+        const profiles = this.profilesByTemplate.get(name) ?? new Map<string, WorkspaceProfile>();
+        this.profilesByTemplate.set(name, profiles);
+        const parametersJson = JSON.stringify(parameters);
+        const cached = profiles.get(parametersJson);
+        if (cached) return cached;
         const profile = resolveTemplate(this.templates.get(name)!.spec, parameters).unsafeCoerce();
-        profiles.set(signature, profile);
+        profiles.set(parametersJson, profile);
         return profile;
     }
 }
@@ -279,7 +282,7 @@
     return `${change.kind} ${change.id}`;
 }
 
-function authorOf(change: ConfigChange, context: ApplyContext): Authorship {
+function toLastChange(change: ConfigChange, context: ApplyContext): LastChange {
     return {
         revision: context.index as number as Revision,
         operator: change.operator,
@@ -287,8 +290,8 @@
     };
 }
 
-function describeConflict(current: Authorship | undefined, what: string): ChangeOutcome {
-    if (!current) return refuse("not-found", `there is no ${what}`);
+function describeConflict(current: LastChange | undefined, item: string): ChangeOutcome {
+    if (!current) return refuse("not-found", `there is no ${item}`);
     const { revision, operator, changeId } = current;
     return { result: { kind: "conflict", revision, winner: operator, winningChange: changeId } };
 }
--- a/src/workspace/registry/test.ts
+++ b/src/workspace/workspaceRegistry/test.ts
@@ -17,7 +17,7 @@
     nonRepeatable: [],
 };
 
-/** A registry with one template and one workspace, and a short way to apply changes. */
+/** Creates a registry with one template and one workspace, and functions that apply changes and restart it from a snapshot. */
 function startRegistry() {
     let index = 0;
     let registry = new WorkspaceRegistry();
@@ -36,11 +36,10 @@
 }
 
 describe("WorkspaceRegistry", () => {
-    describe("two operators under equal numbers", () => {
-        it("lets one win and names the winner to the other", () => {
-            // Anna and Bjorn both read the workspace at revision 2 and set its limit. Bjorn's tool says "done" too, and
-            // Anna's limit is gone without anybody knowing.
-            // Cause: a write that does not look at what it was based on.
+    describe("two operators who edit the same revision", () => {
+        it("applies the first change and names its author in the conflict", () => {
+            // Prevents a lost update: two operators read the workspace at revision 2 and set its limit, and without a check of
+            // the base revision the second write would silently replace the first.
             const { apply, registry } = startRegistry();
             const anna = apply({ kind: "workspace.limit", id: SCHOOL, tokenLimit: 10, base: 2 }, "a1", "anna");
             const bjorn = apply({ kind: "workspace.limit", id: SCHOOL, tokenLimit: 99, base: 2 }, "b1", "bjorn");
@@ -49,7 +48,7 @@
             assert.equal(registry().tokenLimit(SCHOOL), 10);
         });
 
-        it("holds for templates, and for two that create the same workspace", () => {
+        it("applies to templates, and to two operators who create the same workspace", () => {
             const { apply } = startRegistry();
             const edit = { kind: "template.put", name: TEMPLATE, spec: { ...SPEC, weight: 3 }, base: 1 };
             assert.equal(apply(edit, "a1").kind, "done");
@@ -63,8 +62,8 @@
 
     describe("a resend after a lost answer", () => {
         it("gets the first answer, also after a snapshot", () => {
-            // An operator sets a limit, the answer is lost, the tool sends the change again: "conflict, anna changed it
-            // first" - she lost against herself. Cause: the resend meets the revision that its first run made.
+            // Prevents an operator's change from conflicting with itself: the answer is lost, the tool resends the change, and
+            // its base is older than the revision that its first application made.
             const { apply, restart, registry } = startRegistry();
             const change = { kind: "workspace.limit", id: SCHOOL, tokenLimit: 10, base: 2 };
             const first = apply(change, "a1");
@@ -73,7 +72,7 @@
             assert.equal(registry().revision, 3);
         });
 
-        it("is told when the id was used for something else", () => {
+        it("is refused when the change id was used for another change", () => {
             const { apply } = startRegistry();
             apply({ kind: "workspace.limit", id: SCHOOL, tokenLimit: 10, base: 2 }, "a1");
             const other = apply({ kind: "key.grant", workspace: SCHOOL, keyId: KEY_ID, hash: HASH }, "a1");
@@ -84,9 +83,9 @@
     describe("a withdrawn key", () => {
         const grant = { kind: "key.grant", workspace: SCHOOL, keyId: KEY_ID, hash: HASH };
 
-        it("never comes back, whoever grants it again and after a snapshot", () => {
-            // A key is withdrawn after a leak. A grant of the same key that was held up arrives later, or the host restarts
-            // from its snapshot, and the leaked key works again. Cause: the withdrawal left no trace.
+        it("never becomes valid again, even after another grant or a restore from a snapshot", () => {
+            // Prevents a leaked key from working again after its withdrawal: a delayed grant of the same key arrives, or the
+            // host restarts from its snapshot, and no record of the withdrawal was kept.
             const { apply, restart, registry } = startRegistry();
             apply(grant, "g1");
             assert.equal(registry().viewKey(HASH)?.workspace, SCHOOL);
@@ -99,7 +98,7 @@
             assert.deepEqual(registry().viewKeys(), []);
         });
 
-        it("is withdrawn with its workspace, and stays so when the workspace is made again", () => {
+        it("is withdrawn with its workspace, and stays withdrawn when the workspace is created again", () => {
             const { apply, registry } = startRegistry();
             apply(grant, "g1");
             assert.equal(apply({ kind: "workspace.remove", id: SCHOOL, base: 2 }).kind, "done");
@@ -110,7 +109,7 @@
     });
 
     describe("a template's edit", () => {
-        it("reaches its workspaces, and is refused when one of them could not follow", () => {
+        it("applies to its workspaces, and is refused when it is invalid for one of them", () => {
             const { apply, registry } = startRegistry();
             apply({
                 kind: "workspace.create",
