--- a/src/purchase/coverPurchase/test.ts
+++ b/src/purchase/coverPurchase/test.ts
@@ -54,7 +54,7 @@
     );
 }
 
-describe("ZoneLossCoverPolicy", () => {
+describe("CoverPurchase", () => {
     it("starts a mix for the demand plus headroom", () => {
         const orders = new CoverPurchase().plan(makeInput({}));
         assert.equal(countStarts(orders, true) + countStarts(orders, false), 5);
--- a/src/purchase/staticPurchase/test.ts
+++ b/src/purchase/staticPurchase/test.ts
@@ -8,7 +8,7 @@
     return order.action === "start" ? order.count : 0;
 }
 
-describe("StaticPurchasePolicy", () => {
+describe("StaticPurchase", () => {
     it("spreads its count over the zones and replaces missing upstreams", () => {
         const pool = "draft" as PoolId;
         const policy = new StaticPurchase([{ pool, reclaimable: false, count: 5 }], ["a", "b", "c"] as ZoneId[]);
--- a/src/purchase/zonePlan/index.ts
+++ b/src/purchase/zonePlan/index.ts
@@ -59,7 +59,7 @@
  * its upstreams: if they had to be ordered again, they would be cold when the zone is restored.
  *
  * @example
- * const targets = planZones({ zones, least: 1, most: 4, reclaimablePrice: 0.18, needed: 6, leastNeeded: 3 });
+ * const targets = planZones(input);
  */
 export function planZones(input: PoolPlanInput): readonly ZoneWish[] {
     const zones = input.zones.filter(({ isEvacuated }) => !isEvacuated);
--- a/src/usage/runStarts/test.ts
+++ b/src/usage/runStarts/test.ts
@@ -8,7 +8,7 @@
     return parts as StartCounts;
 }
 
-describe("StartCountsByRun", () => {
+describe("RunStarts", () => {
     it("returns the counts that increased, and sums over runs", () => {
         const starts = new RunStarts();
         starts.merge("a 1", [{ window: 5, counts: counts({ butcher: 3, hotel: 1 }) }]);
--- a/src/usage/spendBook/index.ts
+++ b/src/usage/spendBook/index.ts
@@ -60,7 +60,8 @@
  */
 export class SpendBook {
     private readonly runs = new Map<string, RunState>();
-    private readonly grantedByWindow = new Map<WindowStart, Map<WorkspaceId, number>>();
+    /** Tokens granted, by window and workspace. */
+    private readonly windows = new Map<WindowStart, Map<WorkspaceId, number>>();
     private closedTo = -1;
 
     /**
@@ -71,8 +72,8 @@
      */
     reserve(command: ReserveCommand, limit: number | undefined, context: ApplyContext): ReserveResult {
         const run = this.findRun(command, context);
-        const earlierGrant = run.grants.get(command.sequence);
-        if (earlierGrant !== undefined) return { granted: earlierGrant };
+        const earlier = run.grants.get(command.sequence);
+        if (earlier !== undefined) return { granted: earlier };
         // The result of such an old request is no longer kept. Granting again could exceed the limit; granting nothing can't.
         if (command.sequence <= run.forgottenTo) return { granted: 0 };
         const granted = this.grantTokens(command, limit, context);
@@ -83,7 +84,7 @@
 
     /** Returns the tokens granted to a workspace in a window, over all hosts. */
     reserved(window: WindowStart, workspace: WorkspaceId): number {
-        return this.grantedByWindow.get(window)?.get(workspace) ?? 0;
+        return this.windows.get(window)?.get(workspace) ?? 0;
     }
 
     /**
@@ -92,13 +93,13 @@
      */
     closeWindows(upTo: WindowStart): void {
         this.closedTo = Math.max(this.closedTo, upTo);
-        for (const window of this.grantedByWindow.keys()) {
-            if (window <= upTo) this.grantedByWindow.delete(window);
+        for (const window of this.windows.keys()) {
+            if (window <= upTo) this.windows.delete(window);
         }
     }
 
     snapshot(): SpendSnapshot {
-        const reservations = [...this.grantedByWindow].flatMap(([window, byWorkspace]) =>
+        const reservations = [...this.windows].flatMap(([window, byWorkspace]) =>
             [...byWorkspace].map(([workspace, tokens]) => ({ window, workspace, tokens }))
         );
         return { closedTo: this.closedTo, runs: [...this.runs.values()].map(toSpendRun), reservations };
@@ -106,7 +107,7 @@
 
     restore(snapshot: SpendSnapshot): void {
         this.runs.clear();
-        this.grantedByWindow.clear();
+        this.windows.clear();
         this.closedTo = snapshot.closedTo ?? -1;
         for (const run of snapshot.runs) {
             const grants = new Map(run.grants.map(({ sequence, granted }) => [sequence, granted]));
@@ -131,8 +132,8 @@
     }
 
     private grantedInWindow(window: WindowStart): Map<WorkspaceId, number> {
-        const byWorkspace = this.grantedByWindow.get(window) ?? new Map<WorkspaceId, number>();
-        this.grantedByWindow.set(window, byWorkspace);
+        const byWorkspace = this.windows.get(window) ?? new Map<WorkspaceId, number>();
+        this.windows.set(window, byWorkspace);
         return byWorkspace;
     }
 
@@ -149,13 +150,13 @@
             run.forgottenTo = Math.max(run.forgottenTo, sequence);
         }
         run.at = context.proposedAt;
-        const key = runKey(run);
+        const name = runKey(run);
         // Deleted and set again to keep the map in the order of last use.
-        this.runs.delete(key);
-        this.runs.set(key, run);
-        for (const [oldestKey, { at }] of this.runs) {
+        this.runs.delete(name);
+        this.runs.set(name, run);
+        for (const [oldest, { at }] of this.runs) {
             if (context.proposedAt - at <= RUN_RETENTION_MS) return;
-            this.runs.delete(oldestKey);
+            this.runs.delete(oldest);
         }
     }
 }
--- a/src/usage/spendBook/test.ts
+++ b/src/usage/spendBook/test.ts
@@ -10,8 +10,8 @@
 const CONTEXT = { index: 1 as LogIndex, proposedAt: 5 };
 
 function makeReserve(host: string, sequence: number, tokens: number): ReserveCommand {
-    const requester = { host, incarnation: "1", sequence };
-    return { kind: "spend.reserve", workspace: WORKSPACE, window: WINDOW, ...requester, tokens };
+    const who = { host, incarnation: "1", sequence };
+    return { kind: "spend.reserve", workspace: WORKSPACE, window: WINDOW, ...who, tokens };
 }
 
 describe("SpendLedger", () => {
@@ -25,18 +25,18 @@
                 fc.integer({ min: 0, max: 60 }),
                 fc.boolean(),
             ));
-            const check = (requests: [string, number, number, boolean][]): void => {
-                let ledger = new SpendBook();
+            const check = (asks: [string, number, number, boolean][]): void => {
+                let book = new SpendBook();
                 const granted = new Map<string, number>();
-                for (const [host, sequence, tokens, restarts] of requests) {
-                    const answer = ledger.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
+                for (const [host, sequence, tokens, restarts] of asks) {
+                    const answer = book.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
                     const name = `${host} ${sequence}`;
                     assert.equal(granted.get(name) ?? answer, answer);
                     granted.set(name, answer);
                     if (restarts) {
-                        const snapshot = ledger.snapshot();
-                        ledger = new SpendBook();
-                        ledger.restore(snapshot);
+                        const snapshot = book.snapshot();
+                        book = new SpendBook();
+                        book.restore(snapshot);
                     }
                 }
                 assert.ok([...granted.values()].reduce((sum, each) => sum + each, 0) <= 100);
@@ -47,22 +47,22 @@
         it("grants nothing in a window that is closed", () => {
             // Prevents a limit spent twice in one window: the window is closed while an entry still uses it, the sums are
             // dropped, and the entry's next request would get the whole limit again.
-            let ledger = new SpendBook();
-            assert.equal(ledger.reserve(makeReserve("a", 1, 100), 100, CONTEXT).granted, 100);
-            ledger.closeWindows(WINDOW);
-            const snapshot = ledger.snapshot();
-            ledger = new SpendBook();
-            ledger.restore(snapshot);
-            assert.equal(ledger.reserve(makeReserve("a", 2, 100), 100, CONTEXT).granted, 0);
+            let book = new SpendBook();
+            assert.equal(book.reserve(makeReserve("a", 1, 100), 100, CONTEXT).granted, 100);
+            book.closeWindows(WINDOW);
+            const snapshot = book.snapshot();
+            book = new SpendBook();
+            book.restore(snapshot);
+            assert.equal(book.reserve(makeReserve("a", 2, 100), 100, CONTEXT).granted, 0);
         });
 
         it("grants nothing to a request so old that its result is no longer kept", () => {
-            const ledger = new SpendBook();
+            const book = new SpendBook();
             for (let sequence = 1; sequence <= 2_000; sequence++) {
-                ledger.reserve(makeReserve("a", sequence, 1), undefined, CONTEXT);
+                book.reserve(makeReserve("a", sequence, 1), undefined, CONTEXT);
             }
-            assert.equal(ledger.reserve(makeReserve("a", 1, 1), undefined, CONTEXT).granted, 0);
-            assert.equal(ledger.reserved(WINDOW, WORKSPACE), 2_000);
+            assert.equal(book.reserve(makeReserve("a", 1, 1), undefined, CONTEXT).granted, 0);
+            assert.equal(book.reserved(WINDOW, WORKSPACE), 2_000);
         });
     });
 });
--- a/src/usage/startMeter/index.ts
+++ b/src/usage/startMeter/index.ts
@@ -20,7 +20,7 @@
  */
 export class StartMeter {
     private readonly windows = new Map<number, Map<WorkspaceId, number>>();
-    /** Workspaces whose counts changed since the last `takeNews`, by window. */
+    /** Workspaces whose counts changed since the changes were last taken, by window. */
     private readonly changed = new Map<number, Set<WorkspaceId>>();
     private readonly listeners: (() => void)[] = [];
 
--- a/src/usage/startsBook/index.ts
+++ b/src/usage/startsBook/index.ts
@@ -62,7 +62,7 @@
         if (known) return known;
         const closed = { window, counts, reported: false };
         this.windows.set(window, closed);
-        this.dropOldestReported();
+        this.forgetOldest();
         return closed;
     }
 
@@ -73,8 +73,8 @@
 
     /** Lists the closed windows that the platform has not accepted, oldest first. */
     listUnreported(): readonly ClosedStarts[] {
-        const unreported = [...this.windows.values()].filter(({ reported }) => !reported);
-        return unreported.sort((a, b) => a.window - b.window);
+        const open = [...this.windows.values()].filter(({ reported }) => !reported);
+        return open.sort((a, b) => a.window - b.window);
     }
 
     snapshot(): StartsSnapshot {
@@ -85,7 +85,7 @@
         this.windows = new Map(snapshot.map(closed => [closed.window, closed]));
     }
 
-    private dropOldestReported(): void {
+    private forgetOldest(): void {
         const reported = [...this.windows.values()].filter(closed => closed.reported);
         if (reported.length <= MAX_REPORTED_COUNT) return;
         this.windows.delete(Math.min(...reported.map(({ window }) => window)));
--- a/src/usage/usageBook/test.ts
+++ b/src/usage/usageBook/test.ts
@@ -32,7 +32,7 @@
 }
 
 describe("UsageLedger", () => {
-    describe("a batch received twice", () => {
+    describe("a batch that comes twice", () => {
         it("is counted once", () => {
             // Prevents double billing: the entry's batch is applied, the answer is lost with the holder, and the entry resends the
             // batch to the new holder, which must recognise it as a duplicate.
@@ -44,7 +44,7 @@
         });
     });
 
-    describe("usage received after its window has closed", () => {
+    describe("usage after the close", () => {
         it("is an adjustment in the next window, and the closed window stays unchanged", () => {
             // Prevents a resent report with higher figures than the first: the platform has the window's report, an entry that was
             // cut off sends the rest of its usage, and the window's sums would go on growing after the close.
