--- a/src/usage/startsBook/test.ts
+++ b/src/usage/startsBook/test.ts
@@ -6,10 +6,10 @@
     return { kind: "starts.close", window, counts: { butcher: count } as CloseStartsCommand["counts"] };
 }
 
-describe("StartsBook", () => {
+describe("StartLedger", () => {
     it("keeps the first counts of a window", () => {
-        // The platform gets two reports of one window with different figures, and a partner disputes the bill.
-        // A holder closes the window and is lost before it has reported it. Its successor has heard of more requests meanwhile.
+        // Prevents two reports of one window with different figures, and a disputed bill: a holder closes the window and is lost
+        // before it has reported it, and its successor has meanwhile received counts of more requests.
         const book = new StartsBook();
         book.close(close(5, 10));
         assert.equal(book.close(close(5, 12)).counts["butcher" as never], 10);
@@ -26,7 +26,7 @@
         assert.equal(restored.lastClosed, 7);
     });
 
-    it("forgets the oldest reported windows only", () => {
+    it("drops only the oldest reported windows", () => {
         const book = new StartsBook();
         book.close(close(0, 1));
         for (let window = 1; window <= 1_010; window++) {
