--- a/src/emulator/_lib/standInPorts.ts
+++ b/src/emulator/_lib/emulatorPorts.ts
@@ -1,8 +1,8 @@
 import { Clock, Http, Random } from "../../ports/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
 
-/** The ports a stand-in runs on, and the watch it shares with others. */
-export interface StandInPorts {
+/** Ports that an emulated upstream or platform runs on, and the key leak detector that all of them share. */
+export interface EmulatorPorts {
     readonly clock: Clock;
     readonly random: Random;
     readonly http: Http;
--- a/src/emulator/_lib/memoryWorld.ts
+++ b/src/emulator/_lib/memoryWorld.ts
@@ -16,17 +16,17 @@
     EngineChunk,
     engineChunkSchema,
 } from "../../protocol/index.js";
-import { DEFAULT_ANNOUNCER } from "../announcer/index.js";
-import { DEFAULT_ENGINE_PACE } from "../batch/index.js";
+import { DEFAULT_ANNOUNCER_CONFIG } from "../announcer/index.js";
+import { DEFAULT_ENGINE_TIMING } from "../batch/index.js";
 import { EngineConfig, EngineStandIn } from "../engineStandIn/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
+import { EmulatorPorts } from "./emulatorPorts.js";
 import { postJson, readJson, sendEmpty } from "./json.js";
-import { StandInPorts } from "./standInPorts.js";
 
-const ENTRY: Address = { host: "entry", port: 1 };
+const ENTRY_ADDRESS: Address = { host: "entry", port: 1 };
 const TEST_TIMEOUT_MS = 60_000;
 
-/** What a chat request of a test differs in. */
+/** Options of a test's chat request. */
 export interface ChatOptions {
     readonly id?: string;
     readonly prompt: string;
@@ -36,20 +36,21 @@
     readonly signal?: AbortSignal;
 }
 
-/** An answer as a test reads it. */
-export interface ReadAnswer {
+/** A chat answer as the test's client received it. */
+export interface ReceivedAnswer {
     readonly text: string;
     readonly chunks: readonly EngineChunk[];
-    /** The terminal event came. */
+    /** Whether the terminal event arrived. */
     readonly isDone: boolean;
-    /** The connection broke off. */
+    /** Whether the connection was reset before the end of the body. */
     readonly isCut: boolean;
-    /** Milliseconds on the monotonic clock. */
+    /** Arrival of the first bytes, in milliseconds on the monotonic clock. */
     readonly firstTokenAt: number;
+    /** End of the body, in milliseconds on the monotonic clock. */
     readonly endedAt: number;
 }
 
-/** One process with a virtual clock, an in-memory network and an entry that keeps all announcements. */
+/** Test environment with a virtual clock, an in-memory network and an entry that records all announcements. */
 export class MemoryWorld {
     readonly clock = new VirtualClock();
     readonly fabric = new MemoryFabric(this.clock, () => 0);
@@ -58,31 +59,31 @@
     readonly announcements: Announcement[] = [];
     readonly client: Http = this.web.http("entry");
 
-    /** The ports as one host has them. */
-    ports(host: string): StandInPorts {
+    /** Returns the ports of one host of the network. */
+    ports(host: string): EmulatorPorts {
         return { clock: this.clock, random: new SeededRandom(7), http: this.web.http(host), keyWatch: this.keyWatch };
     }
 
-    /** Starts an engine, and the entry that it announces itself to. */
-    async startEngine(change: Partial<EngineConfig> = {}): Promise<{ engine: EngineStandIn; address: Address; }> {
+    /** Starts an engine, and also the entry that it announces itself to unless that runs already. */
+    async startEngine(overrides: Partial<EngineConfig> = {}): Promise<{ engine: EngineStandIn; address: Address; }> {
         if (!this.web.servers.has("entry:1")) await this.startEntry();
-        const engine = new EngineStandIn(this.ports("engine"), { ...makeEngineConfig(), ...change });
+        const engine = new EngineStandIn(this.ports("engine"), { ...makeEngineConfig(), ...overrides });
         return { engine, address: await engine.start() };
     }
 
-    /** Posts JSON. */
+    /** Posts JSON from the test's client. */
     post(address: Address, path: string, body: unknown): Promise<Either<HttpError, HttpReply>> {
         return postJson(this.client, address, path, body, TEST_TIMEOUT_MS);
     }
 
-    /** Posts JSON and gives the answer's status; 0 when none came. */
+    /** Posts JSON and returns the reply's status, or 0 without a reply. */
     async postForStatus(address: Address, path: string, body: unknown): Promise<number> {
         const reply = await this.post(address, path, body);
         return reply.caseOf({ Left: () => 0, Right: ({ status }) => status });
     }
 
-    /** Sends a chat request and reads its answer to the end. */
-    async chat(address: Address, options: ChatOptions): Promise<ReadAnswer> {
+    /** Sends a chat request and receives its answer to the end. */
+    async chat(address: Address, options: ChatOptions): Promise<ReceivedAnswer> {
         const reply = await postJson(
             this.client,
             address,
@@ -99,10 +100,10 @@
             TEST_TIMEOUT_MS,
             options.signal,
         );
-        return this.readAnswer(reply.unsafeCoerce());
+        return this.receiveAnswer(reply.unsafeCoerce());
     }
 
-    private async readAnswer(reply: HttpReply): Promise<ReadAnswer> {
+    private async receiveAnswer(reply: HttpReply): Promise<ReceivedAnswer> {
         let raw = "";
         let firstTokenAt = 0;
         let isCut = false;
@@ -124,7 +125,7 @@
     }
 
     private async startEntry(): Promise<void> {
-        await this.web.http("entry").serve(ENTRY, undefined as never, async (req, res) => {
+        await this.web.http("entry").serve(ENTRY_ADDRESS, undefined as never, async (req, res) => {
             if (req.path !== ANNOUNCE_PATH) return sendEmpty(res, 404);
             const body = await readJson(req, announcementSchema);
             this.announcements.push(body.unsafeCoerce());
@@ -133,7 +134,7 @@
     }
 }
 
-/** An engine with round figures: 10 ms for each step, and a slot for two. */
+/** Makes the config of an engine with 2 slots and steps of exactly 10 ms. */
 export function makeEngineConfig(): EngineConfig {
     return {
         identity: {
@@ -146,9 +147,9 @@
             checksFence: true,
         },
         address: { host: "engine", port: 0 },
-        pace: { ...DEFAULT_ENGINE_PACE, slots: 2, stepMs: 10, stepMsPerRequest: 0, prefillMsPerToken: 0 },
+        pace: { ...DEFAULT_ENGINE_TIMING, slots: 2, stepMs: 10, stepMsPerRequest: 0, prefillMsPerToken: 0 },
         cacheBlocks: 8,
         meanTokens: 60,
-        announcer: { ...DEFAULT_ANNOUNCER, entries: [ENTRY], cacheLoss: 0 },
+        announcer: { ...DEFAULT_ANNOUNCER_CONFIG, entries: [ENTRY_ADDRESS], cacheLoss: 0 },
     };
 }
--- a/src/emulator/_lib/limitNamingResponse.ts
+++ b/src/emulator/_lib/requestLimitResponse.ts
@@ -1,9 +1,9 @@
 import { HeaderList, HttpResponse } from "../../ports/index.js";
 import { REQUEST_LIMIT_HEADER } from "../../protocol/index.js";
 
-/** An answer whose head names how many requests a second its upstream takes. */
-export class LimitNamingResponse extends HttpResponse {
-    /** @param perSecond - From all hosts together. */
+/** Response that states its upstream's request limit in a header. */
+export class RequestLimitResponse extends HttpResponse {
+    /** @param perSecond - Limit in requests per second, over all hosts together. */
     constructor(private readonly res: HttpResponse, private readonly perSecond: number) {
         super();
     }
--- a/src/emulator/announcer/index.ts
+++ b/src/emulator/announcer/index.ts
@@ -1,25 +1,26 @@
 import { Address, formatAddress } from "../../ports/index.js";
 import { ANNOUNCE_PATH, Announcement, CacheEvents, LoadReport } from "../../protocol/index.js";
+import { EmulatorPorts } from "../_lib/emulatorPorts.js";
 import { drainBody, postJson } from "../_lib/json.js";
-import { StandInPorts } from "../_lib/standInPorts.js";
 
-/** How an upstream announces itself. */
+/** Config of an upstream's announcements. */
 export interface AnnouncerConfig {
-    /** The upstream-facing ports of the entries. */
+    /** Addresses of the entries' ports for upstreams. */
     readonly entries: readonly Address[];
-    /** Whether each announcement goes to all entries or to one of them, drawn anew each time. */
+    /** Sends each announcement to all entries, or to one that is drawn at random each time. */
     readonly spread: "all" | "one";
+    /** Time between two announcements, in milliseconds. */
     readonly intervalMs: number;
-    /** How old a load report is when it leaves, in milliseconds. */
+    /** Age of a load report when it is sent, in milliseconds. */
     readonly loadLagMs: number;
-    /** How long a cache event waits before it is told, in milliseconds. */
+    /** Delay before a cache event is announced, in milliseconds. */
     readonly cacheLagMs: number;
-    /** The share of cache events that are never told. */
+    /** Share of cache events that are dropped, from 0 to 1. */
     readonly cacheLoss: number;
 }
 
-/** Announcements every half second, to all entries; load and cache events lag. */
-export const DEFAULT_ANNOUNCER: AnnouncerConfig = {
+/** Announces to all entries every 0.5 s, with delayed load reports and with cache events that are delayed and partly lost. */
+export const DEFAULT_ANNOUNCER_CONFIG: AnnouncerConfig = {
     entries: [],
     spread: "all",
     intervalMs: 500,
@@ -28,64 +29,64 @@
     cacheLoss: 0.05,
 };
 
-/** What does not change from one announcement to the next, or is read anew for each. */
-export interface AnnouncedUpstream {
-    /** The announcement without what the announcer adds. */
+/** Source of an upstream's announcements: its description and its current load. */
+export interface AnnouncementSource {
+    /** Returns the announcement without the fields that the announcer adds. */
     describe(): Omit<Announcement, "sequence" | "load" | "cache">;
-    /** The load at this moment; `age_ms` is 0. */
+    /** Returns the current load; `age_ms` is 0. */
     readLoad(): LoadReport;
 }
 
 interface LoadSample {
-    readonly at: number;
+    readonly sampledAtMs: number;
     readonly load: LoadReport;
 }
 
-interface PendingEvent {
-    readonly due: number;
+interface PendingCacheEvent {
+    readonly dueAtMs: number;
     readonly sequence: number;
     readonly event: CacheEvents["events"][number];
 }
 
 const SEND_TIMEOUT_MS = 1_000;
-const CACHE_EVENTS_PER_ANNOUNCEMENT = 500;
+const MAX_CACHE_EVENTS_PER_ANNOUNCEMENT = 500;
 
-/** Announces one upstream to the entries: load reports lag, and cache events come late and with gaps. */
+/** Announces one upstream to the entries. Load reports are outdated, and cache events are late and have gaps. */
 export class Announcer {
-    private sequence = 0;
+    private announcementSequence = 0;
     private cacheSequence = 0;
-    private samples: LoadSample[] = [];
-    private events: PendingEvent[] = [];
-    private readonly busy = new Set<string>();
+    private loadSamples: LoadSample[] = [];
+    private pendingCacheEvents: PendingCacheEvent[] = [];
+    private readonly entriesInFlight = new Set<string>();
     private isMuted = false;
     private entries: readonly Address[];
 
     constructor(
-        private readonly ports: StandInPorts,
+        private readonly ports: EmulatorPorts,
         private readonly cfg: AnnouncerConfig,
-        private readonly upstream: AnnouncedUpstream,
+        private readonly source: AnnouncementSource,
     ) {
         this.entries = cfg.entries;
     }
 
-    /** Changes who is told. */
+    /** Replaces the entries that receive the announcements. */
     setEntries(entries: readonly Address[]): void {
         this.entries = entries;
     }
 
-    /** Takes in a cache event, to be told later or never. */
+    /** Queues a cache event for a later announcement, or drops it at the configured loss rate. */
     addCacheEvent(event: CacheEvents["events"][number]): void {
         const sequence = this.cacheSequence++;
         if (this.ports.random.next() < this.cfg.cacheLoss) return;
-        this.events.push({ due: this.ports.clock.monotonic() + this.cfg.cacheLagMs, sequence, event });
+        this.pendingCacheEvents.push({ dueAtMs: this.ports.clock.monotonic() + this.cfg.cacheLagMs, sequence, event });
     }
 
-    /** Sends nothing from now on, or again. */
+    /** Suspends or resumes announcements. */
     setMuted(muted: boolean): void {
         this.isMuted = muted;
     }
 
-    /** Announces at each interval until the signal is aborted. */
+    /** Announces once per interval until the signal is aborted. */
     async run(signal: AbortSignal): Promise<void> {
         while (!signal.aborted) {
             this.announce();
@@ -93,14 +94,14 @@
         }
     }
 
-    /** Announces now; an entry that still has an announcement under way is left out. */
+    /** Announces now, except to entries whose previous announcement is still in flight. */
     announce(): void {
         if (this.isMuted) return;
         const body = this.makeAnnouncement();
-        for (const entry of this.chooseEntries()) void this.send(entry, body);
+        for (const entry of this.chooseEntries()) void this.sendUnlessInFlight(entry, body);
     }
 
-    /** Announces now to every entry and waits for the answers. */
+    /** Announces now to every entry and waits for their replies. */
     async announceToAll(): Promise<void> {
         const body = this.makeAnnouncement();
         await Promise.all(this.entries.map(entry => this.post(entry, body)));
@@ -113,47 +114,47 @@
 
     private makeAnnouncement(): Announcement {
         return {
-            ...this.upstream.describe(),
-            sequence: ++this.sequence,
+            ...this.source.describe(),
+            sequence: ++this.announcementSequence,
             load: this.readLaggingLoad(),
             cache: this.takeCacheEvents(),
         };
     }
 
     private readLaggingLoad(): LoadReport {
-        const now = this.ports.clock.monotonic();
-        this.samples.push({ at: now, load: this.upstream.readLoad() });
-        const old = this.samples.filter(sample => now - sample.at >= this.cfg.loadLagMs);
-        const chosen = old.length > 0 ? old[old.length - 1] : this.samples[0];
-        this.samples = this.samples.filter(sample => sample.at >= chosen.at);
-        return { ...chosen.load, age_ms: now - chosen.at };
+        const nowMs = this.ports.clock.monotonic();
+        this.loadSamples.push({ sampledAtMs: nowMs, load: this.source.readLoad() });
+        const oldEnough = this.loadSamples.filter(sample => nowMs - sample.sampledAtMs >= this.cfg.loadLagMs);
+        const chosen = oldEnough.length > 0 ? oldEnough[oldEnough.length - 1] : this.loadSamples[0];
+        this.loadSamples = this.loadSamples.filter(sample => sample.sampledAtMs >= chosen.sampledAtMs);
+        return { ...chosen.load, age_ms: nowMs - chosen.sampledAtMs };
     }
 
-    /** The next run of events without a gap; those behind a gap wait for the next announcement. */
+    /** Removes and returns the due events up to the first sequence gap; those after the gap wait for the next announcement. */
     private takeCacheEvents(): CacheEvents | undefined {
-        const now = this.ports.clock.monotonic();
-        const due = this.events.filter(pending => pending.due <= now);
+        const nowMs = this.ports.clock.monotonic();
+        const due = this.pendingCacheEvents.filter(pending => pending.dueAtMs <= nowMs);
         if (due.length === 0) return undefined;
         const first = due[0].sequence;
         const taken = due.filter((pending, index) => pending.sequence === first + index)
-            .slice(0, CACHE_EVENTS_PER_ANNOUNCEMENT);
-        this.events = this.events.slice(taken.length);
+            .slice(0, MAX_CACHE_EVENTS_PER_ANNOUNCEMENT);
+        this.pendingCacheEvents = this.pendingCacheEvents.slice(taken.length);
         return { sequence: first, events: taken.map(pending => pending.event) };
     }
 
-    private async send(entry: Address, body: Announcement): Promise<void> {
+    private async sendUnlessInFlight(entry: Address, body: Announcement): Promise<void> {
         const name = formatAddress(entry);
-        if (this.busy.has(name)) return;
-        this.busy.add(name);
+        if (this.entriesInFlight.has(name)) return;
+        this.entriesInFlight.add(name);
         await this.post(entry, body);
-        this.busy.delete(name);
+        this.entriesInFlight.delete(name);
     }
 
     private async post(entry: Address, body: Announcement): Promise<void> {
         const abort = new AbortController();
-        const limit = this.ports.clock.after(SEND_TIMEOUT_MS, () => abort.abort());
+        const timeout = this.ports.clock.after(SEND_TIMEOUT_MS, () => abort.abort());
         const reply = await postJson(this.ports.http, entry, ANNOUNCE_PATH, body, SEND_TIMEOUT_MS, abort.signal);
         await reply.caseOf({ Left: () => Promise.resolve(), Right: drainBody });
-        limit.cancel();
+        timeout.cancel();
     }
 }
--- a/src/emulator/answerService/index.ts
+++ b/src/emulator/answerService/index.ts
@@ -3,61 +3,63 @@
 import { EngineRequest, hashPrefixes, PREFIX_BLOCK_TOKENS } from "../../protocol/index.js";
 import { AnswerStream, PrefillPlan } from "../answerStream/index.js";
 import { countPromptTokens } from "../answerText/index.js";
-import { Batch, EnginePace } from "../batch/index.js";
+import { Batch, EngineTiming } from "../batch/index.js";
 import { ChatLedger } from "../chatLedger/index.js";
 import { RequestFault } from "../engineFaults/index.js";
 import { KvState } from "../kvTransfer/index.js";
 import { CacheListener, PrefixCache } from "../prefixCache/index.js";
 
-/** How an engine answers. */
+/** Config of an engine's chat answers. */
 export interface AnswerServiceConfig {
-    readonly pace: EnginePace;
-    /** How many prefix blocks fit into its cache. */
+    /** Slots and step durations. */
+    readonly pace: EngineTiming;
+    /** Capacity of the prefix cache, in blocks. */
     readonly cacheBlocks: number;
-    /** Mean length of answers whose prompt has no hint, in tokens. */
+    /** Mean length of answers whose prompt has no length hint, in tokens. */
     readonly meanTokens: number;
 }
 
-/** What the answers came to up to now. */
+/** Counts of an engine's answers so far. */
 export interface AnswerStats {
     readonly running: number;
     readonly queued: number;
     readonly requests: number;
     readonly tokens: number;
-    /** Prompt tokens that had to be computed, and those that the cache held. */
+    /** Tokens computed in prefill, those of resumed answers included. */
     readonly computedPromptTokens: number;
+    /** Prompt tokens found in the prefix cache. */
     readonly cachedPromptTokens: number;
     readonly cancelled: number;
-    /** Streams whose other end went away before they were whole. */
+    /** Streams whose client disconnected before the end. */
     readonly abandoned: number;
 }
 
-/** A KV state that the engine does not have. */
-export class NoKvStateError extends Error {}
+/** The engine has no KV state for the request. */
+export class KvStateNotFoundError extends Error {}
 
 const EVENT_STREAM_HEADERS = [["content-type", "text/event-stream"], ["cache-control", "no-cache"]] as const;
-/** How many ended requests' KV states can still be exported. */
-const KEPT_KV_STATES = 256;
+/** Number of ended requests whose KV state can still be exported. */
+const MAX_KEPT_KV_STATES = 256;
 
-/** The answers of one engine: its batch, its cache and the streams under way. */
+/** Answers an engine's chat requests: its batch, its prefix cache and its open streams. */
 export class AnswerService {
     readonly batch: Batch;
-    private readonly cache: PrefixCache;
+    private readonly prefixCache: PrefixCache;
     private readonly streams = new Set<AnswerStream>();
     private readonly kvStates = new Map<string, KvState>();
-    private readonly imported = new Map<string, KvState>();
-    private requests = 0;
-    private tokens = 0;
+    private readonly importedKvStates = new Map<string, KvState>();
+    private requestCount = 0;
+    private endedStreamTokens = 0;
     private computedPromptTokens = 0;
     private cachedPromptTokens = 0;
-    private cancelled = 0;
-    private abandoned = 0;
+    private cancelledCount = 0;
+    private abandonedCount = 0;
 
     /**
-     * @param clock - Time for the steps.
-     * @param cfg - How it answers.
-     * @param ledger - Where streams are recorded.
-     * @param listener - Told of each change of the cache.
+     * @param clock - Times the batch steps.
+     * @param cfg - Timing, cache capacity and answer length.
+     * @param ledger - Records each stream when it ends.
+     * @param listener - Called for each change of the prefix cache.
      */
     constructor(
         private readonly clock: Clock,
@@ -66,22 +68,22 @@
         listener: CacheListener,
     ) {
         this.batch = new Batch(clock, cfg.pace);
-        this.cache = new PrefixCache(cfg.cacheBlocks, listener);
+        this.prefixCache = new PrefixCache(cfg.cacheBlocks, listener);
     }
 
-    /** How many streams are open. */
-    get openStreams(): number {
+    /** Number of open streams. */
+    get openStreamCount(): number {
         return this.streams.size;
     }
 
-    /** The share of the cache in use, from 0 to 1. */
-    get cacheUse(): number {
-        return Math.min(1, this.cache.size / this.cfg.cacheBlocks);
+    /** Share of the prefix cache in use, from 0 to 1. */
+    get cacheUsedShare(): number {
+        return Math.min(1, this.prefixCache.size / this.cfg.cacheBlocks);
     }
 
-    /** Answers one request; settles once its stream has ended. */
+    /** Answers one request; resolves once its stream has ended. */
     async answer(body: EngineRequest, req: HttpRequest, res: HttpResponse, fault?: RequestFault): Promise<void> {
-        this.requests++;
+        this.requestCount++;
         if (fault?.kind === "late") await this.clock.sleep(fault.delayMs, req.closed);
         res.head(200, EVENT_STREAM_HEADERS);
         await new Promise<void>(resolve => {
@@ -100,43 +102,43 @@
         });
     }
 
-    /** Ends a request's streams with a truthful last event; harmless when there is none. */
+    /** Ends a request's streams with the finish reason `cancelled` and the actual usage; no-op when there are none. */
     cancel(requestId: string): void {
         for (const stream of this.findStreams(requestId)) {
-            this.cancelled++;
+            this.cancelledCount++;
             stream.finish("cancelled");
         }
     }
 
-    /** Gives a request's KV state, running or lately ended. */
-    exportKv(requestId: string): Either<NoKvStateError, KvState> {
+    /** Returns the KV state of a running or recently ended request. */
+    exportKv(requestId: string): Either<KvStateNotFoundError, KvState> {
         const [running] = this.findStreams(requestId);
-        const state = running ? describeKv(running) : this.kvStates.get(requestId);
-        return state ? Right(state) : Left(new NoKvStateError(requestId));
+        const state = running ? describeKvState(running) : this.kvStates.get(requestId);
+        return state ? Right(state) : Left(new KvStateNotFoundError(requestId));
     }
 
-    /** Takes over a request's KV state from another engine. */
+    /** Imports a request's KV state that another engine exported. */
     importKv(state: KvState): void {
-        this.imported.set(state.request_id, state);
-        this.cache.keep(state.prefixes);
+        this.importedKvStates.set(state.request_id, state);
+        this.prefixCache.keep(state.prefixes);
     }
 
     /** Resets every open stream. */
-    cutAll(): void {
-        for (const stream of [...this.streams]) stream.cut();
+    resetAllStreams(): void {
+        for (const stream of [...this.streams]) stream.resetConnection();
     }
 
-    /** What the answers came to up to now. */
+    /** Returns the counts so far. */
     stats(): AnswerStats {
         return {
             running: this.batch.runningCount,
             queued: this.batch.waitingCount,
-            requests: this.requests,
-            tokens: this.tokens + [...this.streams].reduce((sum, stream) => sum + stream.produced, 0),
+            requests: this.requestCount,
+            tokens: this.endedStreamTokens + [...this.streams].reduce((sum, stream) => sum + stream.producedTokens, 0),
             computedPromptTokens: this.computedPromptTokens,
             cachedPromptTokens: this.cachedPromptTokens,
-            cancelled: this.cancelled,
-            abandoned: this.abandoned,
+            cancelled: this.cancelledCount,
+            abandoned: this.abandonedCount,
         };
     }
 
@@ -146,33 +148,33 @@
 
     private planPrefill(req: EngineRequest): PrefillPlan {
         const promptTokens = countPromptTokens(req.messages);
-        const resumed = req.resume?.offset ?? 0;
-        const cachedBlocks = this.cache.use(hashPrefixes(req.messages));
+        const resumedTokens = req.resume?.offset ?? 0;
+        const cachedBlocks = this.prefixCache.use(hashPrefixes(req.messages));
         const cachedTokens = Math.min(promptTokens, cachedBlocks * PREFIX_BLOCK_TOKENS);
-        const importedTokens = this.imported.get(req.request_id)?.tokens ?? 0;
-        const computeTokens = Math.max(0, promptTokens + resumed - Math.max(cachedTokens, importedTokens));
-        this.imported.delete(req.request_id);
+        const importedTokens = this.importedKvStates.get(req.request_id)?.tokens ?? 0;
+        const computeTokens = Math.max(0, promptTokens + resumedTokens - Math.max(cachedTokens, importedTokens));
+        this.importedKvStates.delete(req.request_id);
         this.computedPromptTokens += computeTokens;
         this.cachedPromptTokens += cachedTokens;
         return { promptTokens, cachedTokens, computeTokens };
     }
 
     private abandon(stream: AnswerStream): void {
-        if (stream.ended === undefined) this.abandoned++;
-        stream.abandon();
+        if (stream.outcome === undefined) this.abandonedCount++;
+        stream.markAbandoned();
     }
 
     private endStream(stream: AnswerStream): void {
         this.streams.delete(stream);
         this.batch.remove(stream);
-        this.tokens += stream.produced;
-        this.ledger.record(stream.req.request_id, stream.produced);
-        this.kvStates.set(stream.req.request_id, describeKv(stream));
-        if (this.kvStates.size > KEPT_KV_STATES) this.kvStates.delete(this.kvStates.keys().next().value!);
+        this.endedStreamTokens += stream.producedTokens;
+        this.ledger.record(stream.req.request_id, stream.producedTokens);
+        this.kvStates.set(stream.req.request_id, describeKvState(stream));
+        if (this.kvStates.size > MAX_KEPT_KV_STATES) this.kvStates.delete(this.kvStates.keys().next().value!);
     }
 }
 
-function describeKv(stream: AnswerStream): KvState {
+function describeKvState(stream: AnswerStream): KvState {
     const { messages, request_id } = stream.req;
     return {
         request_id,
--- a/src/emulator/answerText/index.ts
+++ b/src/emulator/answerText/index.ts
@@ -1,16 +1,16 @@
 /**
- * What a stand-in engine answers: text and length follow from the prompt alone, so that any engine can continue an
- * answer that another began, and the load tool can check a whole answer token for token.
+ * Generates the answers of emulated engines. Text and length depend on the prompt alone, so that any engine can resume an
+ * answer that another one began, and the load tool can check a whole answer token by token.
  */
 import { createHash } from "node:crypto";
 
-/** The part of a chat message that decides the answer. */
+/** Fields of a chat message that determine the answer. */
 export interface PromptMessage {
     readonly role: string;
     readonly content: string;
 }
 
-const WORDS = [
+const VOCABULARY = [
     "brine",
     "loin",
     "shank",
@@ -44,17 +44,17 @@
     "seal",
     "store",
 ];
-const LENGTH_HINT = /\[tokens=(\d{1,6})\]/;
-const DEFAULT_MEAN_TOKENS = 60;
+const LENGTH_HINT_PATTERN = /\[tokens=(\d{1,6})\]/;
+const DEFAULT_MEAN_ANSWER_TOKENS = 60;
 const CHARACTERS_PER_TOKEN = 4;
 const TOKENS_PER_MESSAGE = 4;
-const UINT32 = 2 ** 32;
+const UINT32_RANGE = 2 ** 32;
 
 /**
- * The number from which an answer's text and length follow.
+ * Derives the seed of an answer's text and length from the prompt.
  *
- * @param prompt - The messages as the engine gets them.
- * @returns A whole number below 2^32.
+ * @param prompt - Messages of the request.
+ * @returns An unsigned 32-bit integer.
  */
 export function answerSeed(prompt: readonly PromptMessage[]): number {
     const hash = createHash("sha256");
@@ -63,38 +63,38 @@
 }
 
 /**
- * One token of an answer. The text holds the token's number, so that a token given twice or left out shows.
+ * Returns one token of an answer. Its text contains the offset, which makes duplicate and missing tokens detectable.
  *
  * @param seed - From `answerSeed`.
- * @param offset - The token's number; the first has 0.
+ * @param offset - Offset of the token in the answer, from 0.
  * @example
  * answerToken(7, 0); // "drum0 "
  */
 export function answerToken(seed: number, offset: number): string {
     const mixed = Math.imul(seed ^ Math.imul(offset + 1, 0x9e3779b1), 0x85ebca6b) >>> 0;
-    return `${WORDS[(mixed >>> 16) % WORDS.length]}${offset} `;
+    return `${VOCABULARY[(mixed >>> 16) % VOCABULARY.length]}${offset} `;
 }
 
 /**
- * How many tokens an engine gives before it stops by itself: the number in a `[tokens=N]` hint in the last message,
- * else one drawn from an exponential distribution by the prompt's seed.
+ * Returns the number of tokens that an engine produces without a token limit: N of a `[tokens=N]` hint in the last
+ * message, otherwise a number from an exponential distribution, determined by the prompt's seed.
  *
- * @param prompt - The messages as the engine gets them.
- * @param meanTokens - The distribution's mean.
+ * @param prompt - Messages of the request.
+ * @param meanTokens - Mean of the distribution, in tokens.
  * @returns At least 1.
  */
-export function answerLength(prompt: readonly PromptMessage[], meanTokens = DEFAULT_MEAN_TOKENS): number {
-    const hint = LENGTH_HINT.exec(prompt[prompt.length - 1].content);
+export function answerLength(prompt: readonly PromptMessage[], meanTokens = DEFAULT_MEAN_ANSWER_TOKENS): number {
+    const hint = LENGTH_HINT_PATTERN.exec(prompt[prompt.length - 1].content);
     if (hint) return Math.max(1, Number(hint[1]));
-    const uniform = (answerSeed(prompt) + 0.5) / UINT32;
+    const uniform = (answerSeed(prompt) + 0.5) / UINT32_RANGE;
     return 1 + Math.floor(-Math.log(uniform) * meanTokens);
 }
 
 /**
- * The whole text that a caller must get for a prompt.
+ * Returns the complete text that a caller must receive for a prompt.
  *
- * @param prompt - The messages that the caller sent.
- * @param tokens - How many tokens the answer has.
+ * @param prompt - Messages that the caller sent.
+ * @param tokens - Number of tokens of the answer.
  * @example
  * expectedAnswer([{ role: "user", content: "Cuts for Friday [tokens=12]" }], 12);
  */
@@ -104,9 +104,9 @@
 }
 
 /**
- * How many tokens a prompt counts.
+ * Counts the tokens of a prompt.
  *
- * @param prompt - The messages as the engine gets them.
+ * @param prompt - Messages of the request.
  */
 export function countPromptTokens(prompt: readonly PromptMessage[]): number {
     return prompt.reduce(
--- a/src/emulator/answerText/test.ts
+++ b/src/emulator/answerText/test.ts
@@ -6,23 +6,23 @@
 
 describe("answerText", () => {
     describe("expectedAnswer", () => {
-        it("gives the same text for the same prompt, and another for another", () => {
+        it("returns the same text for the same prompt, and different text for a different prompt", () => {
             assert.equal(expectedAnswer(PROMPT, 20), expectedAnswer(PROMPT, 20));
             assert.notEqual(expectedAnswer(PROMPT, 20), expectedAnswer([{ role: "system", content: "x" }], 20));
         });
 
-        it("numbers the tokens, so that one given twice or left out shows", () => {
+        it("numbers the tokens, so that duplicate and missing ones are detectable", () => {
             const numbers = expectedAnswer(PROMPT, 30).trim().split(" ").map(token => Number(/\d+$/.exec(token)));
             assert.deepEqual(numbers, Array.from({ length: 30 }, (_, offset) => offset));
         });
     });
 
     describe("answerLength", () => {
-        it("takes the hint of the last message", () => {
+        it("uses the length hint of the last message", () => {
             assert.equal(answerLength([...PROMPT, { role: "user", content: "Friday [tokens=12]" }]), 12);
         });
 
-        it("draws lengths about the mean for prompts without a hint", () => {
+        it("draws lengths with the given mean for prompts without a hint", () => {
             const lengths = Array.from(
                 { length: 2_000 },
                 (_, n) => answerLength([{ role: "user", content: `${n}` }], 60),
--- a/src/emulator/batch/index.ts
+++ b/src/emulator/batch/index.ts
@@ -1,21 +1,21 @@
 import { Clock } from "../../ports/index.js";
 
-/** How long an engine's steps take. */
-export interface EnginePace {
-    /** How many requests run at once. */
+/** Slots and step durations of an engine. */
+export interface EngineTiming {
+    /** Maximum number of requests in the batch. */
     readonly slots: number;
-    /** A step's fixed part, in milliseconds. */
+    /** Fixed duration of a step, in milliseconds. */
     readonly stepMs: number;
-    /** Added for each request in the step, in milliseconds. */
+    /** Additional duration per request in the batch, in milliseconds. */
     readonly stepMsPerRequest: number;
-    /** Added for each prompt token computed in the step, in milliseconds. */
+    /** Additional duration per prompt token computed in the step, in milliseconds. */
     readonly prefillMsPerToken: number;
-    /** The most prompt tokens that one step computes. */
+    /** Maximum number of prompt tokens computed in one step. */
     readonly prefillTokensPerStep: number;
 }
 
-/** An engine of about 1,300 tokens a second with all slots taken. */
-export const DEFAULT_ENGINE_PACE: EnginePace = {
+/** Timing of an engine that produces about 1,300 tokens per second with all slots taken. */
+export const DEFAULT_ENGINE_TIMING: EngineTiming = {
     slots: 16,
     stepMs: 8,
     stepMsPerRequest: 0.25,
@@ -23,72 +23,73 @@
     prefillTokensPerStep: 512,
 };
 
-/** One request in the batch. */
+/** A request that waits for a slot or is in the batch. */
 export abstract class Sequence {
-    /** Prompt tokens still to be computed. */
-    prefillLeft = 0;
+    /** Prompt tokens that are still to be computed. */
+    remainingPrefillTokens = 0;
 
     /** @param priority - 0 is the most urgent. */
     constructor(readonly priority: number) {}
 
-    /** Called when a slot is taken, to say how many prompt tokens must be computed. */
-    abstract start(): number;
+    /** Called when the request gets a slot; returns the number of prompt tokens to compute. */
+    abstract startPrefill(): number;
 
     /**
-     * Called once for each token.
+     * Called once per output token.
      *
-     * @returns True when it was the last one.
+     * @returns True if this was the last one.
      */
-    abstract emit(): boolean;
+    abstract emitToken(): boolean;
 }
 
 /**
- * Continuous batching: each step gives every request in the batch one token, and requests join and leave between steps.
+ * Continuous batching: each step produces one token for every request in the batch that has finished its prefill;
+ * requests join and leave the batch between steps.
  *
  * @example
- * const batch = new Batch(clock, DEFAULT_ENGINE_PACE);
+ * const batch = new Batch(clock, DEFAULT_ENGINE_TIMING);
  * lifecycle.run(signal => batch.run(signal), report);
  * batch.add(sequence);
  */
 export class Batch {
-    /** Multiplies the time of each step; above 1 the engine is a straggler. */
-    slowdown = 1;
+    /** Factor on the duration of each step; above 1 the engine is a straggler. */
+    slowdownFactor = 1;
     private readonly waiting: Sequence[] = [];
     private readonly running: Sequence[] = [];
     private isFrozen = false;
     private wake: (() => void) | undefined;
-    private stepDue = 0;
+    private stepDueMs = 0;
 
     /**
-     * @param clock - Time for the steps.
-     * @param pace - How long they take.
+     * @param clock - Times the steps.
+     * @param timing - Slots and step durations.
      */
-    constructor(private readonly clock: Clock, private readonly pace: EnginePace) {}
+    constructor(private readonly clock: Clock, private readonly timing: EngineTiming) {}
 
-    /** How many requests have a slot. */
+    /** Number of requests with a slot. */
     get runningCount(): number {
         return this.running.length;
     }
 
-    /** How many requests wait for a slot. */
+    /** Number of requests that wait for a slot. */
     get waitingCount(): number {
         return this.waiting.length;
     }
 
-    /** Puts a request in line, behind those of the same priority. */
+    /** Queues a request behind all of the same or a higher priority. */
     add(sequence: Sequence): void {
-        const behind = this.waiting.findIndex(other => other.priority > sequence.priority);
-        this.waiting.splice(behind < 0 ? this.waiting.length : behind, 0, sequence);
+        const insertAt = this.waiting.findIndex(other => other.priority > sequence.priority);
+        this.waiting.splice(insertAt < 0 ? this.waiting.length : insertAt, 0, sequence);
         this.wake?.();
     }
 
-    /** Takes a request out, wherever it is; harmless when it is gone. */
+    /** Removes a waiting or running request; no-op when it is neither. */
     remove(sequence: Sequence): void {
         removeItem(this.waiting, sequence);
         removeItem(this.running, sequence);
     }
 
-    /** Stops all steps, or lets them go on. */
+    /** Suspends or resumes the steps. */
     setFrozen(frozen: boolean): void {
         this.isFrozen = frozen;
         this.wake?.();
@@ -103,17 +104,17 @@
                 await this.waitForWork();
                 continue;
             }
-            const work = this.planPrefill();
-            await this.waitForStep(this.stepTime(work), signal);
-            if (!signal.aborted && !this.isFrozen) this.finishStep(work);
+            const prefillShares = this.planPrefill();
+            await this.waitForStep(this.stepDurationMs(prefillShares), signal);
+            if (!signal.aborted && !this.isFrozen) this.finishStep(prefillShares);
         }
     }
 
     private fillSlots(): void {
-        while (this.running.length < this.pace.slots) {
+        while (this.running.length < this.timing.slots) {
             const next = this.waiting.shift();
             if (!next) return;
-            next.prefillLeft = next.start();
+            next.remainingPrefillTokens = next.startPrefill();
             this.running.push(next);
         }
     }
@@ -123,40 +124,41 @@
             this.wake = resolve;
         });
         this.wake = undefined;
-        this.stepDue = this.clock.monotonic();
+        this.stepDueMs = this.clock.monotonic();
     }
 
-    /** Gives the step's prompt tokens to those that came first. */
+    /** Allots the step's prefill budget to the running requests, first come, first served. */
     private planPrefill(): Map<Sequence, number> {
-        const work = new Map<Sequence, number>();
-        let left = this.pace.prefillTokensPerStep;
+        const shares = new Map<Sequence, number>();
+        let remainingTokens = this.timing.prefillTokensPerStep;
         for (const sequence of this.running) {
-            const share = Math.min(left, sequence.prefillLeft);
-            work.set(sequence, share);
-            left -= share;
+            const share = Math.min(remainingTokens, sequence.remainingPrefillTokens);
+            shares.set(sequence, share);
+            remainingTokens -= share;
         }
-        return work;
+        return shares;
     }
 
-    private stepTime(work: Map<Sequence, number>): number {
-        const prefill = sum(work.values());
-        const { stepMs, stepMsPerRequest, prefillMsPerToken } = this.pace;
-        return (stepMs + stepMsPerRequest * this.running.length + prefillMsPerToken * prefill) * this.slowdown;
+    private stepDurationMs(prefillShares: Map<Sequence, number>): number {
+        const prefillTokens = sum(prefillShares.values());
+        const { stepMs, stepMsPerRequest, prefillMsPerToken } = this.timing;
+        return (stepMs + stepMsPerRequest * this.running.length + prefillMsPerToken * prefillTokens)
+            * this.slowdownFactor;
     }
 
-    /** Steps follow a schedule of their own, so that a timer's late call does not slow the engine down for good. */
-    private async waitForStep(ms: number, signal: AbortSignal): Promise<void> {
-        const now = this.clock.monotonic();
-        this.stepDue = Math.max(this.stepDue, now - ms) + ms;
-        await this.clock.sleep(this.stepDue - now, signal);
+    /** Waits until the step's scheduled end. Steps follow a fixed schedule, so that late timers don't slow the engine down permanently. */
+    private async waitForStep(durationMs: number, signal: AbortSignal): Promise<void> {
+        const nowMs = this.clock.monotonic();
+        this.stepDueMs = Math.max(this.stepDueMs, nowMs - durationMs) + durationMs;
+        await this.clock.sleep(this.stepDueMs - nowMs, signal);
     }
 
-    private finishStep(work: Map<Sequence, number>): void {
-        for (const [sequence, share] of work) {
+    private finishStep(prefillShares: Map<Sequence, number>): void {
+        for (const [sequence, share] of prefillShares) {
             if (!this.running.includes(sequence)) continue;
-            sequence.prefillLeft -= share;
-            if (sequence.prefillLeft > 0) continue;
-            if (sequence.emit()) removeItem(this.running, sequence);
+            sequence.remainingPrefillTokens -= share;
+            if (sequence.remainingPrefillTokens > 0) continue;
+            if (sequence.emitToken()) removeItem(this.running, sequence);
         }
     }
 }
--- a/src/emulator/callStandIn/index.ts
+++ b/src/emulator/callStandIn/index.ts
@@ -4,31 +4,31 @@
 import { Announcement } from "../../protocol/index.js";
 import { PromptPart } from "../../upstream/index.js";
 
-/** How a stand-in spoils an answer. */
+/** Fault to inject into the answer of a call. */
 export type CallFault =
-    /** It runs the call and resets the connection before it answers. */
+    /** Runs the call and resets the connection before the answer. */
     | "lost"
-    /** It runs the call and answers with a failure of its own. */
+    /** Runs the call and answers with status 500. */
     | "error"
-    /** It refuses the call, which it does not run. */
+    /** Refuses the call without running it. */
     | "refuse"
-    /** It breaks a stream off after its first events, within one. */
+    /** Resets the connection in the middle of an event, after the first complete events. */
     | "break"
-    /** It answers with the id of another call. */
+    /** Answers with the id of another call. */
     | "crossed";
 
-/** What a stand-in was told to do with a call, and what came of it. */
+/** A call that an emulated upstream began to run. */
 export interface CallRun {
     readonly request: string;
     readonly workspace: string | undefined;
     readonly path: string;
     readonly body: string;
     readonly headers: readonly (readonly [string, string])[];
-    /** Monotonic, in milliseconds. */
+    /** Start of the run, in milliseconds on the monotonic clock. */
     readonly at: number;
 }
 
-/** How a stand-in behaves. */
+/** Options of an emulated upstream for routed calls. */
 export interface CallStandInOptions {
     readonly clock: Clock;
     readonly http: Http;
@@ -37,69 +37,70 @@
     readonly pool: string;
     readonly zone: string;
     readonly slots: number;
-    /** How long a call takes, in milliseconds. */
+    /** Duration of a call before its answer, in milliseconds. */
     readonly workMs: number;
-    /** How many events a stream has, and the pause between them, in milliseconds. */
+    /** Number of events in a streamed answer; 0 for plain answers. */
     readonly events: number;
+    /** Pause between two events, in milliseconds. */
     readonly gapMs: number;
-    /** The parts of prompts that it holds from the start. */
+    /** Prompt parts that are in its cache from the start. */
     readonly holds?: readonly PromptPart[];
-    /** How long after its start it is cold, in milliseconds. */
+    /** Time after the start during which it is cold, in milliseconds. */
     readonly coldMs?: number;
-    /** The body of calls that crash it once it runs them; undefined: none does. */
+    /** Body of calls that crash the upstream while it runs them, before the answer; undefined: no call does. */
     readonly crashesOn?: string;
-    /** How long it is gone after a crash, in milliseconds; undefined: for good. */
+    /** Time from a crash to the restart, in milliseconds; undefined: it doesn't restart. */
     readonly restartMs?: number;
 }
 
-const MOST_BODY_BYTES = 16 * 1024 * 1024;
-const BREAK_AFTER = 2;
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
+const BREAK_AFTER_EVENTS = 2;
 
 /**
- * Stands in for an upstream that takes routed calls in the product's own words: answers, streams events that can be resumed, and fails
- * as it is told to. Keeps what it ran, so that a test can see what ran twice or for whom.
+ * Emulates an upstream that receives routed calls with the router's own headers: answers, streams resumable events and fails on demand.
+ * Records the calls that it ran, so that tests can find calls that ran twice or for the wrong workspace.
  *
  * @example
  * const upstream = await CallStandIn.start(options);
  * upstream.faults.push("lost");
  */
 export class CallStandIn {
-    /** What it ran, in order. */
+    /** Calls that ran, in order. */
     readonly runs: CallRun[] = [];
-    /** Each call takes the first of these. */
+    /** Faults for the next calls; each call removes the first one. */
     readonly faults: CallFault[] = [];
-    /** The parts of prompts that it has read, with their tokens. */
-    private readonly held = new Map<string, number>();
-    private sequence = 0;
-    private coldUntil = 0;
-    private limit: number | undefined;
+    /** Token counts of the cached prompt parts, by part id. */
+    private readonly cachedPartTokens = new Map<string, number>();
+    private announcementSequence = 0;
+    private coldUntilMs = 0;
+    private requestLimit: number | undefined;
     private incarnation = 1;
-    private readonly answering = new Set<HttpResponse>();
+    private readonly openResponses = new Set<HttpResponse>();
     private listener: Listener | undefined;
-    /** When it crashed, each time; monotonic, in milliseconds. */
+    /** Times of its crashes, in milliseconds on the monotonic clock. */
     readonly crashes: number[] = [];
 
     private constructor(private readonly options: CallStandInOptions) {
-        for (const { id, tokens } of options.holds ?? []) this.held.set(id, tokens);
+        for (const { id, tokens } of options.holds ?? []) this.cachedPartTokens.set(id, tokens);
         this.becomeCold(options.coldMs ?? 0);
     }
 
     static async start(options: CallStandInOptions): Promise<CallStandIn> {
-        const standIn = new CallStandIn(options);
-        await standIn.open();
-        return standIn;
+        const upstream = new CallStandIn(options);
+        await upstream.listen();
+        return upstream;
     }
 
-    /** False while it is gone after a crash. */
+    /** Whether it listens; false after a crash until the restart, and after `close`. */
     get isUp(): boolean {
         return this.listener !== undefined;
     }
 
-    /** What it says of itself next. */
+    /** Returns its next announcement. */
     announce(state: Announcement["state"] = "ready"): Announcement {
         const { id, pool, zone, address, slots } = this.options;
         const load = { running: 0, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
-        const coldMs = this.coldUntil - this.options.clock.monotonic();
+        const coldMs = this.coldUntilMs - this.options.clock.monotonic();
         return {
             id,
             zone,
@@ -107,7 +108,7 @@
             state,
             load,
             incarnation: this.incarnation,
-            sequence: ++this.sequence,
+            sequence: ++this.announcementSequence,
             kind: "service",
             pools: [pool],
             address: formatAddress(address),
@@ -118,14 +119,14 @@
         };
     }
 
-    /** Makes it cold, which it says with its next announcement. */
+    /** Makes it cold for the given time, starting with its next announcement. */
     becomeCold(ms: number): void {
-        this.coldUntil = this.options.clock.monotonic() + ms;
+        this.coldUntilMs = this.options.clock.monotonic() + ms;
     }
 
-    /** Names a limit in its answers from now on, in requests a second; undefined: none. It does not refuse what goes beyond. */
+    /** Sets the limit that its answers state, in requests per second; undefined: none. Requests beyond the limit are not refused. */
     nameLimit(perSecond: number | undefined): void {
-        this.limit = perSecond;
+        this.requestLimit = perSecond;
     }
 
     async close(): Promise<void> {
@@ -134,69 +135,69 @@
         await listener?.close();
     }
 
-    /** Ends as a process does that crashes: open answers are reset and new connections refused, until it starts anew. */
+    /** Emulates a process crash: resets open answers and refuses new connections until the restart. */
     async crash(): Promise<void> {
         const { clock, restartMs } = this.options;
         this.crashes.push(clock.monotonic());
-        for (const res of this.answering) res.reset();
-        this.answering.clear();
+        for (const res of this.openResponses) res.reset();
+        this.openResponses.clear();
         await this.close();
         if (restartMs !== undefined) clock.after(restartMs, () => void this.restart());
     }
 
-    private async open(): Promise<void> {
+    private async listen(): Promise<void> {
         const { http, address } = this.options;
-        this.listener = await http.serve(address, DEFAULT_HTTP_LIMITS, (req, res) => this.answer(req, res));
+        this.listener = await http.serve(address, DEFAULT_HTTP_LIMITS, (req, res) => this.handle(req, res));
     }
 
     private async restart(): Promise<void> {
         this.incarnation++;
-        this.sequence = 0;
-        this.held.clear();
-        await this.open();
+        this.announcementSequence = 0;
+        this.cachedPartTokens.clear();
+        await this.listen();
     }
 
-    private async answer(req: HttpRequest, res: HttpResponse): Promise<void> {
+    private async handle(req: HttpRequest, res: HttpResponse): Promise<void> {
         const request = findHeader(req.headers, CALL_HEADERS.request) ?? "";
         const expected = findHeader(req.headers, CALL_HEADERS.upstream);
-        if (expected !== this.options.id) return this.refuse(res, 421);
-        if (req.path === CACHE_PATH) return this.listHeld(res);
+        if (expected !== this.options.id) return this.sendNotRun(res, 421);
+        if (req.path === CACHE_PATH) return this.sendCachedParts(res);
         const fault = this.faults.shift();
-        if (fault === "refuse" || this.answering.size >= this.options.slots) return this.refuse(res, 503);
-        const body = (await req.body(MOST_BODY_BYTES)).map(bytes => Buffer.from(bytes).toString()).orDefault("");
+        if (fault === "refuse" || this.openResponses.size >= this.options.slots) return this.sendNotRun(res, 503);
+        const body = (await req.body(MAX_BODY_BYTES)).map(bytes => Buffer.from(bytes).toString()).orDefault("");
         const workspace = findHeader(req.headers, CALL_HEADERS.workspace);
         const at = this.options.clock.monotonic();
         this.runs.push({ request, workspace, path: req.path, body, headers: req.headers, at });
-        this.hold(findHeader(req.headers, CALL_HEADERS.parts));
-        this.answering.add(res);
+        this.addCachedParts(findHeader(req.headers, CALL_HEADERS.parts));
+        this.openResponses.add(res);
         await this.options.clock.sleep(this.options.workMs, req.closed);
-        if (!this.answering.has(res)) return;
+        if (!this.openResponses.has(res)) return;
         if (body === this.options.crashesOn) await this.crash();
         else if (fault === "lost") res.reset();
-        else await this.give(req, res, fault === "crossed" ? "another" : request, fault);
-        this.answering.delete(res);
+        else await this.sendAnswer(req, res, fault === "crossed" ? "another" : request, fault);
+        this.openResponses.delete(res);
     }
 
-    private hold(parts = ""): void {
+    private addCachedParts(parts = ""): void {
         for (const part of parts.split(",").filter(Boolean)) {
             const [id, tokens] = part.split(":");
-            this.held.set(id, Number(tokens));
+            this.cachedPartTokens.set(id, Number(tokens));
         }
     }
 
-    private listHeld(res: HttpResponse): void {
-        const parts = [...this.held].map(([id, tokens]) => ({ id, tokens }));
+    private sendCachedParts(res: HttpResponse): void {
+        const parts = [...this.cachedPartTokens].map(([id, tokens]) => ({ id, tokens }));
         const text = JSON.stringify({ parts });
         res.head(200, [["content-type", "application/json"], ["content-length", String(text.length)]]);
         res.end(text);
     }
 
-    private refuse(res: HttpResponse, status: number): void {
+    private sendNotRun(res: HttpResponse, status: number): void {
         res.head(status, [[CALL_HEADERS.notRun, "1"], ["content-length", "0"]]);
         res.end();
     }
 
-    private async give(
+    private async sendAnswer(
         req: HttpRequest,
         res: HttpResponse,
         request: string,
@@ -206,25 +207,25 @@
             [CALL_HEADERS.request, request],
             [CALL_HEADERS.signature, `${this.options.id}/${request}`],
         ];
-        if (this.limit !== undefined) headers.push([CALL_HEADERS.requestLimit, String(this.limit)]);
-        if (this.options.events > 0 && fault !== "error") return this.stream(req, res, headers, fault);
+        if (this.requestLimit !== undefined) headers.push([CALL_HEADERS.requestLimit, String(this.requestLimit)]);
+        if (this.options.events > 0 && fault !== "error") return this.sendEvents(req, res, headers, fault);
         const text = `${fault === "error" ? "failed" : "answered"} by ${this.options.id}`;
         res.head(fault === "error" ? 500 : 200, [...headers, ["content-length", String(text.length)]]);
         res.end(text);
     }
 
-    private async stream(
+    private async sendEvents(
         req: HttpRequest,
         res: HttpResponse,
         headers: [string, string][],
         fault: CallFault | undefined,
     ): Promise<void> {
         const { events, gapMs, clock } = this.options;
-        const first = Number(findHeader(req.headers, CALL_HEADERS.lastEventId) ?? 0) + 1;
+        const firstEventId = Number(findHeader(req.headers, CALL_HEADERS.lastEventId) ?? 0) + 1;
         res.head(200, [...headers, ["content-type", "text/event-stream"], ["transfer-encoding", "chunked"]]);
-        for (let id = first; id <= events; id++) {
+        for (let id = firstEventId; id <= events; id++) {
             if (req.closed.aborted) return;
-            if (fault === "break" && id === first + BREAK_AFTER) {
+            if (fault === "break" && id === firstEventId + BREAK_AFTER_EVENTS) {
                 await res.write(`id: ${id}\nda`);
                 res.reset();
                 return;
--- a/src/emulator/chatLedger/index.ts
+++ b/src/emulator/chatLedger/index.ts
@@ -1,33 +1,33 @@
-/** A chat request, by the id that the system gave it, and what engines did for it. */
+/** Runs of one chat request, identified by the id that the router assigned. */
 export interface ChatRuns {
     readonly request: string;
-    /** How many streams engines began for it; resumed ones count too. */
+    /** Number of ended streams, resumed ones included. */
     readonly runs: number;
-    /** How many tokens they gave, all together. */
+    /** Number of tokens that all these streams produced together. */
     readonly tokens: number;
 }
 
-/** The oldest chats beyond this many are forgotten, so that a long bench does not fill the memory. */
-const MOST_CHATS = 100_000;
+/** The oldest chats beyond this number are dropped, which bounds the memory of a long benchmark. */
+const MAX_CHATS = 100_000;
 
-/** What engines ran, by request id; shared by all engines of a set, so that wasted work shows. */
+/** Counts streams and tokens per request id. Shared by all engines of an emulator, so that duplicate work is visible. */
 export class ChatLedger {
     private readonly chats = new Map<string, ChatRuns>();
 
     /**
-     * Notes one stream for a request.
+     * Records one ended stream of a request.
      *
-     * @param request - The id that came with it.
-     * @param tokens - How many tokens the stream gave.
+     * @param request - Request id.
+     * @param tokens - Number of tokens that the stream produced.
      */
     record(request: string, tokens: number): void {
-        const known = this.chats.get(request);
-        const runs = (known?.runs ?? 0) + 1;
-        this.chats.set(request, { request, runs, tokens: (known?.tokens ?? 0) + tokens });
-        if (this.chats.size > MOST_CHATS) this.chats.delete(this.chats.keys().next().value!);
+        const previous = this.chats.get(request);
+        const runs = (previous?.runs ?? 0) + 1;
+        this.chats.set(request, { request, runs, tokens: (previous?.tokens ?? 0) + tokens });
+        if (this.chats.size > MAX_CHATS) this.chats.delete(this.chats.keys().next().value!);
     }
 
-    /** All requests that ran. */
+    /** Returns the runs of all requests. */
     list(): ChatRuns[] {
         return [...this.chats.values()];
     }
--- a/src/emulator/controlAction/index.ts
+++ b/src/emulator/controlAction/index.ts
@@ -2,15 +2,15 @@
 import * as z from "zod";
 import { parseAddress } from "../../ports/index.js";
 import { offerSchema } from "../../protocol/index.js";
+import { EmulatedService } from "../emulatedService/index.js";
 import { EngineStandIn } from "../engineStandIn/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
-import { ServiceStandIn } from "../serviceStandIn/index.js";
 import { StandInSet } from "../standInSet/index.js";
 
-const UPSTREAM_ACTIONS = ["crash", "restart", "leave", "stop", "freeze", "thaw", "mute", "unmute"] as const;
-const count = z.int().min(0);
+const SIMPLE_UPSTREAM_ACTIONS = ["crash", "restart", "leave", "stop", "freeze", "thaw", "mute", "unmute"] as const;
+const countSchema = z.int().min(0);
 const engineFaultSchema = z.discriminatedUnion("kind", [
-    z.strictObject({ kind: z.enum(["cut", "silent", "unfinished"]), afterTokens: count }),
+    z.strictObject({ kind: z.enum(["cut", "silent", "unfinished"]), afterTokens: countSchema }),
     z.strictObject({ kind: z.literal("late"), delayMs: z.number() }),
     z.strictObject({ kind: z.literal("crossed"), id: z.string() }),
     z.strictObject({ kind: z.literal("refused"), status: z.int() }),
@@ -24,12 +24,12 @@
 const platformFaultSchema = z.discriminatedUnion("kind", [
     z.strictObject({ kind: z.literal("lost") }),
     z.strictObject({ kind: z.enum(["late", "held"]), delayMs: z.number() }),
-    z.strictObject({ kind: z.literal("busy"), retryAfterSeconds: count }),
+    z.strictObject({ kind: z.literal("busy"), retryAfterSeconds: countSchema }),
 ]);
 
-/** One thing to do to the stand-ins: the body of `POST /do`. */
+/** Action on the emulated upstreams and platform: the body of `POST /do`. */
 export const controlActionSchema = z.discriminatedUnion("action", [
-    z.strictObject({ action: z.enum(UPSTREAM_ACTIONS), upstream: z.string() }),
+    z.strictObject({ action: z.enum(SIMPLE_UPSTREAM_ACTIONS), upstream: z.string() }),
     z.strictObject({ action: z.literal("slow"), upstream: z.string(), factor: z.number().positive() }),
     z.strictObject({ action: z.literal("limit"), upstream: z.string(), perSecond: z.number().min(0).optional() }),
     z.strictObject({ action: z.literal("engine-faults"), upstream: z.string(), faults: z.array(engineFaultSchema) }),
@@ -43,49 +43,54 @@
 export type ControlAction = z.infer<typeof controlActionSchema>;
 
 type UpstreamAction = Extract<ControlAction, { upstream: string; }>;
-type SetAction = Exclude<ControlAction, UpstreamAction>;
+type EmulatorAction = Exclude<ControlAction, UpstreamAction>;
 
-/** An action that can't be done. */
+/** The action names an unknown upstream, or doesn't apply to its kind. */
 export class ActionError extends Error {
-    /** @param reason - What is wrong, in a word. */
+    /** @param reason - Error code. */
     constructor(readonly reason: "no-upstream" | "wrong-kind", detail: string) {
         super(`${reason}: ${detail}`);
     }
 }
 
 /**
- * Does one thing to the stand-ins; it takes effect at once, and what it starts goes on by itself.
+ * Applies one action to the emulated upstreams and platform. It takes effect immediately; what it starts, such as a restart,
+ * continues in the background.
  *
- * @param set - The stand-ins.
- * @param watch - Their watch on keys.
- * @param action - What to do.
+ * @param emulator - Emulator to act on.
+ * @param keyLeakDetector - Receives the keys of `watch-keys`.
+ * @param action - Action to apply.
  * @example
- * applyAction(set, watch, { action: "crash", upstream: "draft-vogar-4" });
+ * applyAction(emulator, keyLeakDetector, { action: "crash", upstream: "draft-vogar-4" });
  */
-export function applyAction(set: StandInSet, watch: KeyWatch, action: ControlAction): Either<ActionError, void> {
-    if (!("upstream" in action)) return Right(actOnSet(set, watch, action));
-    const upstream = set.find(action.upstream);
+export function applyAction(
+    emulator: StandInSet,
+    keyLeakDetector: KeyWatch,
+    action: ControlAction,
+): Either<ActionError, void> {
+    if (!("upstream" in action)) return Right(applyToEmulator(emulator, keyLeakDetector, action));
+    const upstream = emulator.find(action.upstream);
     if (!upstream) return Left(new ActionError("no-upstream", action.upstream));
-    if (action.action === "restart") return Right(void set.restart(action.upstream));
-    return upstream instanceof EngineStandIn ? actOnEngine(upstream, action) : actOnService(upstream, action);
+    if (action.action === "restart") return Right(void emulator.restart(action.upstream));
+    return upstream instanceof EngineStandIn ? applyToEngine(upstream, action) : applyToService(upstream, action);
 }
 
-function actOnSet(set: StandInSet, watch: KeyWatch, action: SetAction): void {
+function applyToEmulator(emulator: StandInSet, keyLeakDetector: KeyWatch, action: EmulatorAction): void {
     switch (action.action) {
         case "platform-faults":
-            return set.platform.addFaults(...action.faults);
+            return emulator.platform.addFaults(...action.faults);
         case "reclaim-zone":
-            return set.platform.orders.reclaimZone(action.zone, action.noticeMs);
+            return emulator.platform.orders.reclaimZone(action.zone, action.noticeMs);
         case "set-offers":
-            return set.platform.orders.setOffers(action.offers);
+            return emulator.platform.orders.setOffers(action.offers);
         case "set-entries":
-            return set.setEntries(action.entries.flatMap(text => parseAddress(text) ?? []));
+            return emulator.setEntries(action.entries.flatMap(text => parseAddress(text) ?? []));
         case "watch-keys":
-            for (const key of action.keys) watch.add(key);
+            for (const key of action.keys) keyLeakDetector.add(key);
     }
 }
 
-function actOnEngine(engine: EngineStandIn, action: UpstreamAction): Either<ActionError, void> {
+function applyToEngine(engine: EngineStandIn, action: UpstreamAction): Either<ActionError, void> {
     switch (action.action) {
         case "freeze":
         case "thaw":
@@ -95,15 +100,17 @@
         case "engine-faults":
             return Right(engine.faults.add(...action.faults));
         default:
-            return actOnAny(engine, action);
+            return applyToUpstream(engine, action);
     }
 }
 
-function actOnService(service: ServiceStandIn, action: UpstreamAction): Either<ActionError, void> {
-    return action.action === "service-faults" ? Right(service.addFaults(...action.faults)) : actOnAny(service, action);
+function applyToService(service: EmulatedService, action: UpstreamAction): Either<ActionError, void> {
+    return action.action === "service-faults"
+        ? Right(service.addFaults(...action.faults))
+        : applyToUpstream(service, action);
 }
 
-function actOnAny(upstream: EngineStandIn | ServiceStandIn, action: UpstreamAction): Either<ActionError, void> {
+function applyToUpstream(upstream: EngineStandIn | EmulatedService, action: UpstreamAction): Either<ActionError, void> {
     switch (action.action) {
         case "crash":
             return Right(void upstream.crash());
--- a/src/emulator/controlAction/test.ts
+++ b/src/emulator/controlAction/test.ts
@@ -5,9 +5,9 @@
 import { StandInSet } from "../standInSet/index.js";
 import { applyAction } from "./index.js";
 
-async function startSet() {
+async function startEmulator() {
     const world = new MemoryWorld();
-    const set = new StandInSet(world.ports("emulator"), {
+    const emulator = new StandInSet(world.ports("emulator"), {
         ...DEFAULT_EMULATOR_SETTINGS,
         host: "emulator",
         engines: 2,
@@ -15,37 +15,37 @@
         zones: ["sohar", "barka"],
         reclaimableZones: ["barka"],
     });
-    await world.clock.runUntil(set.startAll(), 1_000);
-    return { world, set };
+    await world.clock.runUntil(emulator.startAll(), 1_000);
+    return { world, emulator };
 }
 
 describe("applyAction", () => {
     it("reclaims a zone's engines with notice, and no others", async () => {
-        const { world, set } = await startSet();
-        applyAction(set, world.keyWatch, { action: "reclaim-zone", zone: "barka", noticeMs: 3_000 });
-        const states = (): string[] => set.stats().engines.map(engine => engine.state);
+        const { world, emulator } = await startEmulator();
+        applyAction(emulator, world.keyWatch, { action: "reclaim-zone", zone: "barka", noticeMs: 3_000 });
+        const states = (): string[] => emulator.stats().engines.map(engine => engine.state);
         assert.deepEqual(states(), ["ready", "leaving"]);
         await world.clock.advance(3_000);
         assert.deepEqual(states(), ["ready", "gone"]);
     });
 
-    it("starts a crashed engine again as a new incarnation", async () => {
-        const { world, set } = await startSet();
-        const before = set.engines.get("draft-sohar-1")!.describe().incarnation;
+    it("restarts a crashed engine as a new incarnation", async () => {
+        const { world, emulator } = await startEmulator();
+        const before = emulator.engines.get("draft-sohar-1")!.describe().incarnation;
         await world.clock.advance(10);
-        applyAction(set, world.keyWatch, { action: "crash", upstream: "draft-sohar-1" });
-        applyAction(set, world.keyWatch, { action: "restart", upstream: "draft-sohar-1" });
+        applyAction(emulator, world.keyWatch, { action: "crash", upstream: "draft-sohar-1" });
+        applyAction(emulator, world.keyWatch, { action: "restart", upstream: "draft-sohar-1" });
         await world.clock.advance(10);
-        const { state, incarnation } = set.engines.get("draft-sohar-1")!.describe();
+        const { state, incarnation } = emulator.engines.get("draft-sohar-1")!.describe();
         assert.equal(state, "ready");
         assert.ok(incarnation > before);
     });
 
-    it("says what can't be done", async () => {
-        const { world, set } = await startSet();
-        const unknown = applyAction(set, world.keyWatch, { action: "crash", upstream: "draft-muscat-9" });
-        assert.match(String(unknown.extract()), /no-upstream/);
-        const wrong = applyAction(set, world.keyWatch, { action: "freeze", upstream: "orders-sohar-1" });
-        assert.match(String(wrong.extract()), /wrong-kind/);
+    it("returns an error for an unknown upstream, and for an action on the wrong kind", async () => {
+        const { world, emulator } = await startEmulator();
+        const unknownUpstream = applyAction(emulator, world.keyWatch, { action: "crash", upstream: "draft-muscat-9" });
+        assert.match(String(unknownUpstream.extract()), /no-upstream/);
+        const wrongKind = applyAction(emulator, world.keyWatch, { action: "freeze", upstream: "orders-sohar-1" });
+        assert.match(String(wrongKind.extract()), /wrong-kind/);
     });
 });
--- a/src/emulator/controlApi/index.ts
+++ b/src/emulator/controlApi/index.ts
@@ -5,14 +5,14 @@
 import { KeyWatch } from "../keyWatch/index.js";
 import { StandInSet } from "../standInSet/index.js";
 
-/** What ran: the answer to `GET /runs`. */
+/** Answer to `GET /runs`: how often each service call and each chat request ran. */
 export const runsSchema = z.object({
     calls: z.array(z.object({ service: z.string(), digest: z.string(), runs: z.int() })),
     chats: z.array(z.object({ request: z.string(), runs: z.int(), tokens: z.int() })),
 });
 export type Runs = z.infer<typeof runsSchema>;
 
-/** Where the emulator is asked and steered. */
+/** Paths of the emulator's control API. */
 export const CONTROL_PATHS = {
     stats: "/stats",
     runs: "/runs",
@@ -22,36 +22,40 @@
 } as const;
 
 /**
- * The emulator's own port: `GET /stats`, `/runs`, `/orders` and `/reports` tell what came, and `POST /do` brings about
- * faults.
+ * HTTP API that controls the emulator: `GET /stats`, `/runs`, `/orders` and `/reports` return what it has received and
+ * run, and `POST /do` applies an action, such as a fault.
  */
 export class ControlApi {
-    constructor(private readonly http: Http, private readonly set: StandInSet, private readonly watch: KeyWatch) {}
+    constructor(
+        private readonly http: Http,
+        private readonly emulator: StandInSet,
+        private readonly keyLeakDetector: KeyWatch,
+    ) {}
 
-    /** Listens; port 0 means any free one. */
+    /** Listens on the address; port 0 selects any free port. */
     async start(address: Address): Promise<Listener> {
         return this.http.serve(address, DEFAULT_HTTP_LIMITS, (req, res) => this.handle(req, res));
     }
 
     private async handle(req: HttpRequest, res: HttpResponse): Promise<void> {
-        if (req.path === CONTROL_PATHS.stats) return sendJson(res, 200, this.set.stats());
+        if (req.path === CONTROL_PATHS.stats) return sendJson(res, 200, this.emulator.stats());
         if (req.path === CONTROL_PATHS.runs) return sendJson(res, 200, this.listRuns());
-        if (req.path === CONTROL_PATHS.orders) return sendJson(res, 200, this.set.platform.orders.log.orders);
-        if (req.path === CONTROL_PATHS.reports) return sendJson(res, 200, this.set.platform.usage.received);
+        if (req.path === CONTROL_PATHS.orders) return sendJson(res, 200, this.emulator.platform.orders.log.orders);
+        if (req.path === CONTROL_PATHS.reports) return sendJson(res, 200, this.emulator.platform.usage.received);
         if (req.path !== CONTROL_PATHS.do) return sendJson(res, 404, { error: "no such path" });
         const body = await readJson(req, controlActionSchema);
         body.caseOf({
             Left: err => sendJson(res, 400, { error: err.message }),
-            Right: action => this.answer(action, res),
+            Right: action => this.applyAndAnswer(action, res),
         });
     }
 
     private listRuns(): Runs {
-        return { calls: this.set.ledger.list(), chats: this.set.chats.list() };
+        return { calls: this.emulator.ledger.list(), chats: this.emulator.chats.list() };
     }
 
-    private answer(action: ControlAction, res: HttpResponse): void {
-        applyAction(this.set, this.watch, action).caseOf({
+    private applyAndAnswer(action: ControlAction, res: HttpResponse): void {
+        applyAction(this.emulator, this.keyLeakDetector, action).caseOf({
             Left: err => sendJson(res, err.reason === "no-upstream" ? 404 : 400, { error: err.message }),
             Right: () => sendEmpty(res, 204),
         });
--- a/src/emulator/crashHint/index.ts
+++ b/src/emulator/crashHint/index.ts
@@ -1,7 +1,7 @@
 const CRASH_HINT = "[crash]";
 
 /**
- * Whether a prompt or a call's body ends the stand-in that begins to run it, as some requests do to real upstreams.
+ * Whether a prompt or a call's body crashes the emulated upstream that runs it, as some requests crash real upstreams.
  *
  * @example
  * hasCrashHint("Cuts for Friday [crash]"); // true
--- a/src/emulator/platformStandIn/index.ts
+++ b/src/emulator/emulatedPlatform/index.ts
@@ -1,26 +1,28 @@
 import { Lifecycle } from "../../lifecycle/index.js";
 import { Address, DEFAULT_HTTP_LIMITS, HttpRequest, HttpResponse, Listener } from "../../ports/index.js";
 import { Offer, PLATFORM_PATHS, PlatformOrder, platformOrderSchema, usageReportSchema } from "../../protocol/index.js";
+import { EmulatorPorts } from "../_lib/emulatorPorts.js";
 import { parseJson, sendJson } from "../_lib/json.js";
-import { StandInPorts } from "../_lib/standInPorts.js";
-import { Fleet } from "../fleet/index.js";
 import { OrderError, OrderReceiver, OrderStats } from "../orderReceiver/index.js";
+import { UpstreamProvisioner } from "../upstreamProvisioner/index.js";
 import { UsageReceiver, UsageStats } from "../usageReceiver/index.js";
 import { WeightStore, WeightStoreConfig } from "../weightStore/index.js";
 
-/** What the stand-in of the platform is like. */
+/** Config of the emulated platform. */
 export interface PlatformConfig {
-    /** Where it listens; port 0 means any free one. */
+    /** Address to listen on; port 0 selects any free port. */
     readonly address: Address;
+    /** Initial offers of upstreams. */
     readonly offers: readonly Offer[];
-    /** Whether it refuses orders and reports with an old fencing token. */
+    /** Whether it refuses orders and usage reports with an old fencing token. */
     readonly checksFence: boolean;
+    /** Rate limit of the weight store. */
     readonly weights: WeightStoreConfig;
     /** Size of each weight file, in bytes. */
     readonly weightBytes: number;
 }
 
-/** What the platform has seen up to now. */
+/** Statistics of the emulated platform. */
 export interface PlatformStats {
     readonly orders: OrderStats;
     readonly usage: UsageStats;
@@ -28,11 +30,11 @@
 }
 
 /**
- * A fault in the answer to one order or usage report.
- * - `lost`: it is obeyed, and its connection is reset before the answer.
- * - `late`: it is obeyed, and its answer is late.
- * - `held`: it is obeyed late, after its sender may have given up.
- * - `busy`: it is refused with 429.
+ * Fault to inject into the answer to one order or usage report.
+ * - `lost`: it is processed, and the connection is reset before the answer.
+ * - `late`: it is processed at once, and the answer is delayed.
+ * - `held`: its processing is delayed, so that the sender may have given up before.
+ * - `busy`: it is refused with status 429.
  */
 export type PlatformFault =
     | { readonly kind: "lost"; }
@@ -44,42 +46,46 @@
     readonly body: unknown;
 }
 
-const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
 const ORDER_ERROR_STATUS = { "stale": 409, "no-offer": 404, "unavailable": 409, "unknown-upstream": 404 } as const;
 
 /**
- * The platform in small: offers and orders by availability zone, usage reports, and a weight store with a rate limit.
+ * Emulates the platform: offers and orders by availability zone, usage reports, and a weight store with a rate limit.
  *
  * @example
- * const platform = new PlatformStandIn(ports, fleet, cfg);
+ * const platform = new EmulatedPlatform(ports, provisioner, cfg);
  * const address = await platform.start();
  */
-export class PlatformStandIn {
+export class EmulatedPlatform {
     /** Orders received. */
     readonly orders: OrderReceiver;
     /** Usage reports received. */
     readonly usage: UsageReceiver;
-    private readonly weights: WeightStore;
+    private readonly weightStore: WeightStore;
     private readonly lifecycle = new Lifecycle();
     private readonly faults: PlatformFault[] = [];
     private listener: Listener | undefined;
 
     /**
-     * @param ports - What it runs on.
-     * @param fleet - Starts and stops the upstreams that are ordered.
-     * @param cfg - What it is like.
+     * @param ports - Clock, HTTP and key leak detector.
+     * @param provisioner - Starts and stops the upstreams of the orders.
+     * @param cfg - Address, offers, fencing check and weight store.
      */
-    constructor(private readonly ports: StandInPorts, fleet: Fleet, private readonly cfg: PlatformConfig) {
-        this.orders = new OrderReceiver(ports.clock, fleet, cfg.offers, cfg.checksFence);
+    constructor(
+        private readonly ports: EmulatorPorts,
+        provisioner: UpstreamProvisioner,
+        private readonly cfg: PlatformConfig,
+    ) {
+        this.orders = new OrderReceiver(ports.clock, provisioner, cfg.offers, cfg.checksFence);
         this.usage = new UsageReceiver(cfg.checksFence);
-        this.weights = new WeightStore(ports.clock, cfg.weights);
+        this.weightStore = new WeightStore(ports.clock, cfg.weights);
     }
 
     /**
-     * Listens.
+     * Starts listening.
      *
-     * @returns The address it listens on.
-     * @throws NetworkError when the address is taken.
+     * @returns Address that it listens on.
+     * @throws NetworkError if the address is in use.
      */
     async start(): Promise<Address> {
         const { http } = this.ports;
@@ -88,7 +94,7 @@
         return this.listener.address;
     }
 
-    /** Adds faults for the next orders and reports: each takes one. */
+    /** Adds faults for the next orders and usage reports; each of these removes the first one. */
     addFaults(...faults: PlatformFault[]): void {
         this.faults.push(...faults);
     }
@@ -98,27 +104,27 @@
         await this.lifecycle.close();
     }
 
-    /** What it has seen up to now. */
+    /** Returns the statistics so far. */
     stats(): PlatformStats {
-        return { orders: this.orders.stats(), usage: this.usage.stats(), weights: this.weights.stats() };
+        return { orders: this.orders.stats(), usage: this.usage.stats(), weights: this.weightStore.stats() };
     }
 
     private async handle(req: HttpRequest, res: HttpResponse): Promise<void> {
-        const body = await req.body(BODY_LIMIT_BYTES);
+        const body = await req.body(MAX_BODY_BYTES);
         if (body.isLeft()) return sendJson(res, 400, { error: "unreadable" });
         const bytes = body.extract() as Uint8Array;
         this.ports.keyWatch.inspect(req, bytes);
         const path = req.path.split("?")[0];
-        if (req.method === "GET") return this.answerGet(path, res);
-        if (path === PLATFORM_PATHS.orders) return this.answerPost(res, () => this.takeOrder(bytes));
-        if (path === PLATFORM_PATHS.usageReports) return this.answerPost(res, () => this.takeReport(bytes));
+        if (req.method === "GET") return this.handleGet(path, res);
+        if (path === PLATFORM_PATHS.orders) return this.handlePost(res, () => this.receiveOrder(bytes));
+        if (path === PLATFORM_PATHS.usageReports) return this.handlePost(res, () => this.receiveReport(bytes));
         sendJson(res, 404, { error: "no such path" });
     }
 
-    private answerGet(path: string, res: HttpResponse): void {
+    private handleGet(path: string, res: HttpResponse): void {
         if (path === PLATFORM_PATHS.offers) return sendJson(res, 200, this.orders.list());
         if (!path.startsWith(PLATFORM_PATHS.weights)) return sendJson(res, 404, { error: "no such path" });
-        const waitMs = this.weights.ask();
+        const waitMs = this.weightStore.tryFetch();
         if (waitMs > 0) {
             const seconds = String(Math.ceil(waitMs / 1_000));
             return sendJson(res, 429, { error: "busy" }, [["retry-after", seconds]]);
@@ -127,28 +133,28 @@
         res.end(new Uint8Array(this.cfg.weightBytes));
     }
 
-    private async answerPost(res: HttpResponse, take: () => Reply): Promise<void> {
+    private async handlePost(res: HttpResponse, makeReply: () => Reply): Promise<void> {
         const fault = this.faults.shift();
         if (fault?.kind === "busy") {
             return sendJson(res, 429, { error: "busy" }, [["retry-after", String(fault.retryAfterSeconds)]]);
         }
         if (fault?.kind === "held") await this.ports.clock.sleep(fault.delayMs);
-        const reply = take();
+        const reply = makeReply();
         if (fault?.kind === "late") await this.ports.clock.sleep(fault.delayMs);
         if (fault?.kind === "lost") return res.reset();
         sendJson(res, reply.status, reply.body);
     }
 
-    private takeOrder(bytes: Uint8Array): Reply {
+    private receiveOrder(bytes: Uint8Array): Reply {
         return parseJson(bytes, platformOrderSchema).caseOf<Reply>({
             Left: err => ({ status: 400, body: { error: err.message } }),
-            Right: order => this.obey(order),
+            Right: order => this.executeOrder(order),
         });
     }
 
-    private obey(order: PlatformOrder): Reply {
+    private executeOrder(order: PlatformOrder): Reply {
         try {
-            return { status: 200, body: this.orders.obey(order) };
+            return { status: 200, body: this.orders.execute(order) };
         }
         catch (err) {
             if (!(err instanceof OrderError)) throw err;
@@ -156,7 +162,7 @@
         }
     }
 
-    private takeReport(bytes: Uint8Array): Reply {
+    private receiveReport(bytes: Uint8Array): Reply {
         return parseJson(bytes, usageReportSchema.loose()).caseOf<Reply>({
             Left: err => ({ status: 400, body: { error: err.message } }),
             Right: report =>
--- a/src/emulator/platformStandIn/test.ts
+++ b/src/emulator/emulatedPlatform/test.ts
@@ -2,10 +2,10 @@
 import { describe, it } from "node:test";
 import { Offer, PLATFORM_PATHS } from "../../protocol/index.js";
 import { MemoryWorld } from "../_lib/memoryWorld.js";
-import { Fleet, StartRequest } from "../fleet/index.js";
-import { PlatformConfig, PlatformStandIn } from "./index.js";
+import { StartRequest, UpstreamProvisioner } from "../upstreamProvisioner/index.js";
+import { EmulatedPlatform, PlatformConfig } from "./index.js";
 
-const LIMIT_MS = 60_000;
+const TIMEOUT_MS = 60_000;
 const MICRO_CREDITS_PER_SECOND = 3_600;
 const OFFER: Offer = {
     zone: "barka",
@@ -25,7 +25,7 @@
     lines: [{ workspace: "hotel", pool: "draft", class: "chat", requests: 1, prompt_tokens: 9, completion_tokens: 3 }],
 };
 
-class ListedFleet extends Fleet {
+class RecordingProvisioner extends UpstreamProvisioner {
     readonly log: string[] = [];
 
     async start({ id }: StartRequest): Promise<void> {
@@ -41,37 +41,37 @@
     }
 }
 
-async function startPlatform(change: Partial<PlatformConfig> = {}) {
+async function startPlatform(overrides: Partial<PlatformConfig> = {}) {
     const world = new MemoryWorld();
-    const fleet = new ListedFleet();
-    const platform = new PlatformStandIn(world.ports("platform"), fleet, {
+    const provisioner = new RecordingProvisioner();
+    const platform = new EmulatedPlatform(world.ports("platform"), provisioner, {
         address: { host: "platform", port: 0 },
         offers: [OFFER],
         checksFence: true,
         weights: { ratePerSecond: 1, burst: 2 },
         weightBytes: 16,
-        ...change,
+        ...overrides,
     });
     const address = await platform.start();
     const send = (path: string, body: unknown): Promise<number> =>
-        world.clock.runUntil(world.postForStatus(address, path, body), LIMIT_MS);
-    return { world, fleet, platform, address, send };
+        world.clock.runUntil(world.postForStatus(address, path, body), TIMEOUT_MS);
+    return { world, provisioner, platform, address, send };
 }
 
-describe("PlatformStandIn", () => {
+describe("EmulatedPlatform", () => {
     describe("orders", () => {
-        it("starts an upstream after the start lag, and bills the minimum", async () => {
-            const { world, fleet, platform, send } = await startPlatform();
+        it("starts an upstream after the start delay, and bills the minimum", async () => {
+            const { world, provisioner, platform, send } = await startPlatform();
             assert.equal(await send(PLATFORM_PATHS.orders, START), 200);
             await world.clock.advance(2_999);
-            assert.deepEqual(fleet.log, []);
+            assert.deepEqual(provisioner.log, []);
             await world.clock.advance(1);
-            assert.deepEqual(fleet.log, ["start draft-barka-p1"]);
+            assert.deepEqual(provisioner.log, ["start draft-barka-p1"]);
             await send(PLATFORM_PATHS.orders, { ...START, order_id: "o2", action: "stop", upstream: "draft-barka-p1" });
             assert.equal(platform.stats().orders.spent, 10 * MICRO_CREDITS_PER_SECOND);
         });
 
-        it("obeys an order whose answer is lost, and its resend gets the first answer", async () => {
+        it("executes an order whose answer is lost, and answers its resend with the first reply", async () => {
             const { platform, send } = await startPlatform();
             platform.addFaults({ kind: "lost" });
             assert.equal(await send(PLATFORM_PATHS.orders, START), 0);
@@ -80,13 +80,13 @@
             assert.deepEqual([started, repeats], [1, 1]);
         });
 
-        it("has no more than is on offer", async () => {
+        it("refuses an order beyond what is on offer", async () => {
             const { send } = await startPlatform();
             assert.equal(await send(PLATFORM_PATHS.orders, { ...START, count: 3 }), 409);
             assert.equal(await send(PLATFORM_PATHS.orders, { ...START, order_id: "o2", zone: "sohar" }), 404);
         });
 
-        it("refuses an old fencing token, or obeys it and counts the reversal", async () => {
+        it("refuses an old fencing token, or executes the order and counts the reversal if it doesn't check tokens", async () => {
             const old = { ...START, order_id: "o2", fencing_token: 4 };
             const strict = await startPlatform();
             const lax = await startPlatform({ checksFence: false });
@@ -98,12 +98,12 @@
             assert.equal(lax.platform.stats().orders.reversals, 1);
         });
 
-        it("takes a zone's reclaimable upstreams back with notice, and offers none there", async () => {
-            const { world, fleet, platform, send } = await startPlatform();
+        it("reclaims a zone's reclaimable upstreams with notice, and offers none there", async () => {
+            const { world, provisioner, platform, send } = await startPlatform();
             await send(PLATFORM_PATHS.orders, { ...START, count: 2 });
             await world.clock.advance(3_000);
             platform.orders.reclaimZone("barka", 5_000);
-            assert.deepEqual(fleet.log.slice(2), [
+            assert.deepEqual(provisioner.log.slice(2), [
                 "reclaim draft-barka-p1 in 5000",
                 "reclaim draft-barka-p2 in 5000",
             ]);
@@ -112,16 +112,16 @@
     });
 
     describe("usage reports", () => {
-        it("takes the same figures again, and tells of other ones", async () => {
+        it("accepts a resent report with the same figures, and lists its id if the figures differ", async () => {
             const { platform, send } = await startPlatform();
             await send(PLATFORM_PATHS.usageReports, REPORT);
             await send(PLATFORM_PATHS.usageReports, { ...REPORT, fencing_token: 6 });
             assert.equal(platform.stats().usage.conflicting, 0);
             await send(PLATFORM_PATHS.usageReports, { ...REPORT, fencing_token: 6, lines: [] });
-            assert.deepEqual(platform.usage.conflicts(), ["w1"]);
+            assert.deepEqual(platform.usage.conflictingIds(), ["w1"]);
         });
 
-        it("tells of a window under two report ids, unless one adjusts", async () => {
+        it("counts a window under two report ids as doubled, unless one of them is an adjustment", async () => {
             const { platform, send } = await startPlatform();
             await send(PLATFORM_PATHS.usageReports, REPORT);
             await send(PLATFORM_PATHS.usageReports, { ...REPORT, report_id: "a1", adjusts: 0 });
@@ -132,7 +132,7 @@
     });
 
     describe("the weight store", () => {
-        it("gives so many at a time, and says when to come back", async () => {
+        it("limits fetches to the burst, and states when to retry", async () => {
             const { world, platform, address } = await startPlatform();
             const fetchOne = () =>
                 world.client.send({
@@ -144,11 +144,11 @@
                     connectTimeoutMs: 1_000,
                     headTimeoutMs: 1_000,
                 });
-            const replies = await world.clock.runUntil(Promise.all([fetchOne(), fetchOne(), fetchOne()]), LIMIT_MS);
+            const replies = await world.clock.runUntil(Promise.all([fetchOne(), fetchOne(), fetchOne()]), TIMEOUT_MS);
             assert.deepEqual(replies.map(reply => reply.unsafeCoerce().status), [200, 200, 429]);
             const wait = replies[2].unsafeCoerce().headers.find(([name]) => name === "retry-after")?.[1];
             await world.clock.advance(Number(wait) * 1_000);
-            assert.equal((await world.clock.runUntil(fetchOne(), LIMIT_MS)).unsafeCoerce().status, 200);
+            assert.equal((await world.clock.runUntil(fetchOne(), TIMEOUT_MS)).unsafeCoerce().status, 200);
             assert.deepEqual(platform.stats().weights, { fetches: 3, refusals: 1 });
         });
     });
--- a/src/emulator/serviceStandIn/index.ts
+++ b/src/emulator/emulatedService/index.ts
@@ -1,81 +1,92 @@
 import PQueue from "p-queue";
 import { HttpRequest, HttpResponse } from "../../ports/index.js";
 import { Announcement, LoadReport, REQUEST_ID_HEADER } from "../../protocol/index.js";
+import { EmulatorPorts } from "../_lib/emulatorPorts.js";
 import { sendJson } from "../_lib/json.js";
-import { StandInPorts } from "../_lib/standInPorts.js";
 import { hasCrashHint } from "../crashHint/index.js";
+import { EmulatedUpstream, UpstreamConfig } from "../emulatedUpstream/index.js";
 import { digestBody, RunLedger } from "../runLedger/index.js";
 import { ServiceFault } from "../serviceFaults/index.js";
-import { UpstreamConfig, UpstreamStandIn } from "../upstreamStandIn/index.js";
 
-/** What one stand-in of a plain service is like. */
+/** Config of an emulated plain service. */
 export interface ServiceConfig extends UpstreamConfig {
-    /** How many calls it runs at once; the others wait. */
+    /** Maximum number of concurrent calls; the others are queued. */
     readonly slots: number;
-    /** How long a call runs, in milliseconds: at least, and at most. */
+    /** Minimum duration of a call, in milliseconds. */
     readonly minLatencyMs: number;
+    /** Maximum duration of a call, in milliseconds. */
     readonly maxLatencyMs: number;
 }
 
-/** What a service has done up to now. */
+/** Statistics of an emulated service. */
 export interface ServiceStats {
     readonly id: string;
     readonly address: string;
     readonly state: Announcement["state"];
+    /** Calls run. */
     readonly calls: number;
     readonly running: number;
     readonly queued: number;
+    /** Calls that arrived more than 2 s after the service announced that it leaves. */
     readonly lateRequests: number;
 }
 
-/** The answer to a call: what ran, and how often it has run on all instances together. */
+/** Answer to a call. */
 export interface ServiceAnswer {
+    /** Digest of the call's body. */
     readonly confirmed: string;
+    /** Number of runs of this call on all instances together, this one included. */
     readonly run: number;
 }
 
 /**
- * A plain HTTP service whose calls may not be repeated: each run is recorded, so that a doubled one shows.
+ * Emulates a plain HTTP service whose calls must not be repeated. Records each run, so that duplicate runs are detected.
  *
  * @example
- * const service = new ServiceStandIn(ports, ledger, cfg);
+ * const service = new EmulatedService(ports, ledger, cfg);
  * const address = await service.start();
  */
-export class ServiceStandIn extends UpstreamStandIn {
+export class EmulatedService extends EmulatedUpstream {
     protected readonly kind = "service";
-    private readonly queue: PQueue;
+    private readonly callQueue: PQueue;
     private readonly faults: ServiceFault[] = [];
-    private readonly open = new Set<HttpResponse>();
-    private calls = 0;
+    private readonly openResponses = new Set<HttpResponse>();
+    private callCount = 0;
 
     /**
-     * @param ports - What it runs on.
-     * @param ledger - Where runs are recorded; shared by all instances.
-     * @param cfg - What it is like.
+     * @param ports - Clock, random numbers, HTTP and key leak detector.
+     * @param ledger - Records runs; shared by all instances.
+     * @param cfg - Identity, address, slots, latency and announcements.
      */
-    constructor(ports: StandInPorts, private readonly ledger: RunLedger, private readonly cfg: ServiceConfig) {
+    constructor(ports: EmulatorPorts, private readonly ledger: RunLedger, private readonly cfg: ServiceConfig) {
         super(ports, cfg);
-        this.queue = new PQueue({ concurrency: cfg.slots });
+        this.callQueue = new PQueue({ concurrency: cfg.slots });
     }
 
-    /** Adds faults for the next calls: each call takes one. */
+    /** Adds faults for the next calls; each call removes the first one. */
     addFaults(...faults: ServiceFault[]): void {
         this.faults.push(...faults);
     }
 
     readLoad(): LoadReport {
-        return { running: this.queue.pending, queued: this.queue.size, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
+        return {
+            running: this.callQueue.pending,
+            queued: this.callQueue.size,
+            kv_used: 0,
+            tokens_per_second: 0,
+            age_ms: 0,
+        };
     }
 
-    /** What it has done up to now. */
+    /** Returns its statistics so far. */
     stats(): ServiceStats {
         return {
             id: this.id,
             address: this.address,
             state: this.state.current,
-            calls: this.calls,
-            running: this.queue.pending,
-            queued: this.queue.size,
+            calls: this.callCount,
+            running: this.callQueue.pending,
+            queued: this.callQueue.size,
             lateRequests: this.state.lateRequests,
         };
     }
@@ -88,27 +99,27 @@
         return this.cfg.identity.pools;
     }
 
-    protected get openWork(): number {
-        return this.open.size;
+    protected get openAnswerCount(): number {
+        return this.openResponses.size;
     }
 
-    protected cutAll(): void {
-        // A dead process runs nothing more, also not what waits in its queue.
-        this.queue.clear();
-        for (const res of this.open) res.reset();
+    protected resetOpenAnswers(): void {
+        // A crashed process does not run its queued calls either.
+        this.callQueue.clear();
+        for (const res of this.openResponses) res.reset();
     }
 
     protected async handle(bytes: Uint8Array, req: HttpRequest, res: HttpResponse): Promise<void> {
-        this.state.noteRequest();
-        this.open.add(res);
-        await this.queue.add(() => this.run(bytes, req, res));
-        this.open.delete(res);
+        this.state.recordRequest();
+        this.openResponses.add(res);
+        await this.callQueue.add(() => this.run(bytes, req, res));
+        this.openResponses.delete(res);
     }
 
     private async run(bytes: Uint8Array, req: HttpRequest, res: HttpResponse): Promise<void> {
         const fault = this.faults.shift();
         if (fault?.kind === "refused") return sendJson(res, fault.status, { error: "refused on demand" });
-        this.calls++;
+        this.callCount++;
         const confirmed = digestBody(bytes);
         const run = this.ledger.record(this.cfg.identity.pools[0], confirmed);
         await this.ports.clock.sleep(this.ports.random.between(this.cfg.minLatencyMs, this.cfg.maxLatencyMs));
--- a/src/emulator/upstreamStandIn/index.ts
+++ b/src/emulator/emulatedUpstream/index.ts
@@ -1,50 +1,50 @@
 import { Lifecycle } from "../../lifecycle/index.js";
 import { Address, DEFAULT_HTTP_LIMITS, formatAddress, HttpRequest, HttpResponse, Listener } from "../../ports/index.js";
 import { Announcement, LoadReport } from "../../protocol/index.js";
+import { EmulatorPorts } from "../_lib/emulatorPorts.js";
 import { sendJson } from "../_lib/json.js";
-import { LimitNamingResponse } from "../_lib/limitNamingResponse.js";
-import { StandInPorts } from "../_lib/standInPorts.js";
-import { AnnouncedUpstream, Announcer, AnnouncerConfig } from "../announcer/index.js";
+import { RequestLimitResponse } from "../_lib/requestLimitResponse.js";
+import { AnnouncementSource, Announcer, AnnouncerConfig } from "../announcer/index.js";
 import { UpstreamIdentity, UpstreamState } from "../upstreamState/index.js";
 
-/** What every stand-in of an upstream needs to know. */
+/** Config that all emulated upstreams have in common. */
 export interface UpstreamConfig {
     readonly identity: UpstreamIdentity;
-    /** Where it listens; port 0 means any free one. */
+    /** Address to listen on; port 0 selects any free port. */
     readonly address: Address;
     readonly announcer: AnnouncerConfig;
 }
 
-const BODY_LIMIT_BYTES = 16 * 1024 * 1024;
-const DRAIN_POLL_MS = 10;
+const MAX_BODY_BYTES = 16 * 1024 * 1024;
+const DRAIN_POLL_INTERVAL_MS = 10;
 
-/** What engines and plain services have in common: they listen, announce themselves, leave, and die. */
-export abstract class UpstreamStandIn implements AnnouncedUpstream {
+/** Base of emulated engines and plain services: listens, announces itself, leaves, stops and crashes. */
+export abstract class EmulatedUpstream implements AnnouncementSource {
     protected readonly lifecycle = new Lifecycle();
     protected readonly announcer: Announcer;
     protected readonly state: UpstreamState;
     private listener: Listener | undefined;
-    private limit: number | undefined;
-    private sinceLimit = 0;
+    private requestLimit: number | undefined;
+    private requestCountSinceLimit = 0;
 
-    protected constructor(protected readonly ports: StandInPorts, private readonly config: UpstreamConfig) {
+    protected constructor(protected readonly ports: EmulatorPorts, private readonly config: UpstreamConfig) {
         this.state = new UpstreamState(ports.clock);
         this.announcer = new Announcer(ports, config.announcer, this);
     }
 
     protected abstract readonly kind: Announcement["kind"];
-    /** How many requests it runs at once. */
+    /** Maximum number of concurrent requests. */
     protected abstract readonly slotCount: number;
-    /** The models or the service that it serves now. */
+    /** Models or service that it currently serves. */
     protected abstract readonly poolNames: readonly string[];
-    /** How many answers are under way. */
-    protected abstract readonly openWork: number;
+    /** Number of unfinished answers. */
+    protected abstract readonly openAnswerCount: number;
 
     /** Answers one request. */
     protected abstract handle(body: Uint8Array, req: HttpRequest, res: HttpResponse): Promise<void> | void;
 
-    /** Resets every answer under way. */
-    protected abstract cutAll(): void;
+    /** Resets the connection of every unfinished answer. */
+    protected abstract resetOpenAnswers(): void;
 
     abstract readLoad(): LoadReport;
 
@@ -52,37 +52,37 @@
         return this.config.identity.id;
     }
 
-    /** Where it listens; empty before it does. */
+    /** Address that it listens on; empty before the start. */
     get address(): string {
         return this.listener ? formatAddress(this.listener.address) : "";
     }
 
     /**
-     * Listens, and begins to announce itself.
+     * Starts listening and announcing itself.
      *
-     * @returns The address it listens on.
-     * @throws NetworkError when the address is taken.
+     * @returns Address that it listens on.
+     * @throws NetworkError if the address is in use.
      */
     async start(): Promise<Address> {
         this.listener = await this.ports.http.serve(
             this.config.address,
             DEFAULT_HTTP_LIMITS,
-            (req, res) => this.takeRequest(req, res),
+            (req, res) => this.handleRequest(req, res),
         );
         this.runTask(signal => this.announcer.run(signal));
         return this.listener.address;
     }
 
-    /** Says that it leaves: it expects no new work, and finishes what it has. */
+    /** Announces that it leaves: it expects no new requests, and finishes the open ones. */
     leave(): void {
         this.state.leave();
         this.announcer.announce();
     }
 
     /**
-     * Gives notice that the platform takes it back, and crashes when the time is up.
+     * Announces that the platform reclaims it, and crashes when the notice has expired.
      *
-     * @param noticeMs - The time until then, in milliseconds.
+     * @param noticeMs - Time until the reclaim, in milliseconds.
      */
     reclaim(noticeMs: number): void {
         this.state.leave(noticeMs);
@@ -91,44 +91,44 @@
         this.lifecycle.own(() => timer.cancel());
     }
 
-    /** Stops as planned: cuts nothing, says the last word, and closes. */
+    /** Stops gracefully: finishes all open answers, announces that it is gone, and closes. */
     async stop(): Promise<void> {
         this.leave();
-        while (this.openWork > 0) await this.ports.clock.sleep(DRAIN_POLL_MS);
+        while (this.openAnswerCount > 0) await this.ports.clock.sleep(DRAIN_POLL_INTERVAL_MS);
         this.state.markGone();
         await this.announcer.announceToAll();
         await this.close();
     }
 
-    /** Dies at once: open connections are reset, and nothing is announced any more. */
+    /** Emulates a process crash: resets open answers, and stops at once without an announcement. */
     async crash(): Promise<void> {
         this.state.markGone();
-        this.cutAll();
+        this.resetOpenAnswers();
         await this.close();
     }
 
-    /** Names a limit in its answers from now on, in requests a second; undefined: none. It does not refuse what goes beyond. */
+    /** Sets the limit that its answers state, in requests per second; undefined: none. Requests beyond the limit are not refused. */
     nameLimit(perSecond: number | undefined): void {
-        this.limit = perSecond;
-        this.sinceLimit = 0;
+        this.requestLimit = perSecond;
+        this.requestCountSinceLimit = 0;
     }
 
-    /** How many requests have come since it last named a limit, or ended one. */
+    /** Number of requests since the stated limit was last changed. */
     get requestsSinceLimit(): number {
-        return this.sinceLimit;
+        return this.requestCountSinceLimit;
     }
 
-    /** Changes which entries are told of it. */
+    /** Replaces the entries to which it announces itself. */
     setEntries(entries: readonly Address[]): void {
         this.announcer.setEntries(entries);
     }
 
-    /** Announces nothing from now on, or again; requests are still served. */
+    /** Suspends or resumes announcements; requests are still served. */
     setMuted(muted: boolean): void {
         this.announcer.setMuted(muted);
     }
 
-    describe(): ReturnType<AnnouncedUpstream["describe"]> {
+    describe(): ReturnType<AnnouncementSource["describe"]> {
         const { id, incarnation, zone, pricePerHour, reclaimable, checksFence } = this.config.identity;
         return {
             id,
@@ -146,7 +146,7 @@
         };
     }
 
-    /** Runs a task until the stand-in ends. */
+    /** Runs a task until the upstream stops or crashes. */
     protected runTask(task: (signal: AbortSignal) => Promise<void>): void {
         this.lifecycle.run(task, err => {
             throw err;
@@ -159,13 +159,15 @@
         await closed;
     }
 
-    private async takeRequest(req: HttpRequest, res: HttpResponse): Promise<void> {
-        const body = await req.body(BODY_LIMIT_BYTES);
+    private async handleRequest(req: HttpRequest, res: HttpResponse): Promise<void> {
+        const body = await req.body(MAX_BODY_BYTES);
         if (body.isLeft()) return sendJson(res, 400, { error: "unreadable" });
         const bytes = body.extract() as Uint8Array;
         this.ports.keyWatch.inspect(req, bytes);
-        this.sinceLimit++;
-        const named = this.limit === undefined ? res : new LimitNamingResponse(res, this.limit);
-        await this.handle(bytes, req, named);
+        this.requestCountSinceLimit++;
+        const limitedRes = this.requestLimit === undefined
+            ? res
+            : new RequestLimitResponse(res, this.requestLimit);
+        await this.handle(bytes, req, limitedRes);
     }
 }
--- a/src/emulator/emulatorSettings/test.ts
+++ b/src/emulator/emulatorSettings/test.ts
@@ -3,7 +3,7 @@
 import { readEmulatorSettings } from "./index.js";
 
 describe("readEmulatorSettings", () => {
-    it("takes text as flags and INI files give it", () => {
+    it("parses text from flags and INI files", () => {
         const settings = readEmulatorSettings({
             engines: "8",
             zones: "sohar, barka",
@@ -16,7 +16,7 @@
         assert.deepEqual(settings.entries[1], { host: "127.0.0.1", port: 7102 });
     });
 
-    it("adds up the items of a list given twice, each once", () => {
+    it("merges the items of a repeated list without duplicates", () => {
         const { zones } = readEmulatorSettings({ zones: ["sohar,barka", "barka,muscat"] }).unsafeCoerce();
         assert.deepEqual(zones, ["sohar", "barka", "muscat"]);
     });
--- a/src/emulator/engineFaults/index.ts
+++ b/src/emulator/engineFaults/index.ts
@@ -1,11 +1,11 @@
 /**
- * A fault in the answer to one request.
- * - `cut`: the connection is reset after some tokens.
- * - `silent`: nothing more comes after some tokens, and the connection stays open.
- * - `unfinished`: the stream ends after some tokens as if whole, without its terminal event.
- * - `late`: the answer begins late.
- * - `crossed`: the answer to another request.
- * - `refused`: an error status at once.
+ * Fault to inject into an engine's answer to one chat request.
+ * - `cut`: the connection is reset after `afterTokens` tokens.
+ * - `silent`: nothing is sent after `afterTokens` tokens, and the connection stays open.
+ * - `unfinished`: the response body ends normally after `afterTokens` tokens, but without the terminal event.
+ * - `late`: the answer starts `delayMs` late.
+ * - `crossed`: the answer is that of another request, under its id.
+ * - `refused`: the answer is an error status.
  */
 export type RequestFault =
     | { readonly kind: "cut" | "silent" | "unfinished"; readonly afterTokens: number; }
@@ -13,16 +13,16 @@
     | { readonly kind: "crossed"; readonly id: string; }
     | { readonly kind: "refused"; readonly status: number; };
 
-/** Faults in store for an upstream's next requests: each request takes one. */
+/** Faults for an engine's next chat requests; each request removes the first one. */
 export class FaultQueue {
     private readonly faults: RequestFault[] = [];
 
-    /** Adds a fault for a later request. */
+    /** Adds faults, one per later request. */
     add(...faults: RequestFault[]): void {
         this.faults.push(...faults);
     }
 
-    /** Takes the next fault, or undefined when there is none. */
+    /** Removes and returns the next fault, or undefined if there is none. */
     take(): RequestFault | undefined {
         return this.faults.shift();
     }
--- a/src/emulator/index.ts
+++ b/src/emulator/index.ts
@@ -1,5 +1,5 @@
-/** Stand-ins for engines, plain services and the platform, over the ports: in memory or on real TCP. */
-export { type StandInPorts } from "./_lib/standInPorts.js";
+/** Emulates engines, plain HTTP services and the platform on the ports interface, in memory or over TCP. */
+export { type EmulatorPorts } from "./_lib/emulatorPorts.js";
 export * from "./announcer/index.js";
 export * from "./answerText/index.js";
 export * from "./batch/index.js";
@@ -7,20 +7,20 @@
 export * from "./chatLedger/index.js";
 export * from "./controlAction/index.js";
 export * from "./controlApi/index.js";
+export * from "./emulatedPlatform/index.js";
+export * from "./emulatedService/index.js";
+export * from "./emulatedUpstream/index.js";
 export * from "./emulatorSettings/index.js";
 export * from "./engineFaults/index.js";
 export * from "./engineStandIn/index.js";
-export * from "./fleet/index.js";
 export * from "./keyWatch/index.js";
 export * from "./kvTransfer/index.js";
 export * from "./orderLog/index.js";
 export * from "./orderReceiver/index.js";
-export * from "./platformStandIn/index.js";
 export * from "./runLedger/index.js";
 export * from "./serviceFaults/index.js";
-export * from "./serviceStandIn/index.js";
 export * from "./standInSet/index.js";
-export * from "./upstreamStandIn/index.js";
+export * from "./upstreamProvisioner/index.js";
 export * from "./upstreamState/index.js";
 export * from "./usageReceiver/index.js";
 export * from "./weightStore/index.js";
--- a/src/emulator/keyWatch/index.ts
+++ b/src/emulator/keyWatch/index.ts
@@ -2,43 +2,43 @@
 
 const CREDENTIAL_HEADERS = new Set(["authorization", "proxy-authorization", "x-api-key", "api-key", "cookie"]);
 
-/** What of callers' keys reached a stand-in. */
-export interface KeySightings {
-    /** How many requests held a watched key anywhere in path, headers or body. */
+/** Counts of requests in which callers' keys reached an emulated upstream or the platform. */
+export interface KeyLeakCounts {
+    /** Occurrences of a watched key in the path, headers or body of a request, one per key and request. */
     readonly watchedKeys: number;
-    /** How many requests had a header that usually carries a key. */
+    /** Requests with a header that usually carries credentials. */
     readonly credentialHeaders: number;
 }
 
 /**
- * Looks for callers' keys in what reaches the stand-ins: no upstream may see one.
+ * Detects callers' keys in the requests that reach upstreams or the platform; the router must not forward any.
  *
  * @example
- * const watch = new KeyWatch();
- * watch.add("sk-test-1");
+ * const keyLeakDetector = new KeyWatch();
+ * keyLeakDetector.add("sk-test-1");
  */
 export class KeyWatch {
-    private readonly keys = new Set<string>();
-    private watchedKeys = 0;
-    private credentialHeaders = 0;
+    private readonly watchedKeys = new Set<string>();
+    private watchedKeyCount = 0;
+    private credentialHeaderCount = 0;
 
-    /** Adds a key to look for. */
+    /** Adds a key to watch for. */
     add(key: string): void {
-        this.keys.add(key);
+        this.watchedKeys.add(key);
     }
 
-    /** Looks through one request. */
+    /** Checks one request for watched keys and credential headers. */
     inspect(req: HttpRequest, body: Uint8Array): void {
-        if (req.headers.some(([name]) => CREDENTIAL_HEADERS.has(name))) this.credentialHeaders++;
-        if (this.keys.size === 0) return;
+        if (req.headers.some(([name]) => CREDENTIAL_HEADERS.has(name))) this.credentialHeaderCount++;
+        if (this.watchedKeys.size === 0) return;
         const text = [req.path, ...req.headers.flat(), Buffer.from(body).toString()].join("\n");
-        for (const key of this.keys) {
-            if (text.includes(key)) this.watchedKeys++;
+        for (const key of this.watchedKeys) {
+            if (text.includes(key)) this.watchedKeyCount++;
         }
     }
 
-    /** What was seen up to now. */
-    sightings(): KeySightings {
-        return { watchedKeys: this.watchedKeys, credentialHeaders: this.credentialHeaders };
+    /** Returns the counts so far. */
+    counts(): KeyLeakCounts {
+        return { watchedKeys: this.watchedKeyCount, credentialHeaders: this.credentialHeaderCount };
     }
 }
--- a/src/emulator/kvTransfer/index.ts
+++ b/src/emulator/kvTransfer/index.ts
@@ -1,11 +1,11 @@
 import * as z from "zod";
 
-/** `POST /v1/kv/export`: names a request whose KV cache is wanted. 404 when the engine has none of it. */
+/** Body of `POST /v1/kv/export`: the request whose KV state to export. The engine answers 404 if it has none. */
 export const kvExportSchema = z.object({ request_id: z.string() });
 
 /**
- * What an export gives and `POST /v1/kv/import` takes: with it, another engine resumes the request without computing
- * its first `tokens` tokens, prompt included, again.
+ * Answer to an export and body of `POST /v1/kv/import`. With it, another engine resumes the request without recomputing
+ * its first `tokens` tokens, prompt included.
  */
 export const kvStateSchema = z.object({
     request_id: z.string(),
--- a/src/emulator/main.ts
+++ b/src/emulator/main.ts
@@ -1,4 +1,4 @@
-/** The program `emulator`: stand-ins of the platform, engines and services as one process on TCP. */
+/** The program `emulator`: emulates the platform, engines and services over TCP in one process. */
 import { cac } from "cac";
 import { parse } from "ini";
 import { basename, dirname } from "node:path";
@@ -29,7 +29,7 @@
     return { ...parse(Buffer.from(bytes).toString()).emulator };
 }
 
-/** The flags that were given, without what the parser adds of its own. */
+/** Returns the given flags without `--config` and the entries that the parser adds. */
 function pickKnown(flags: Record<string, unknown>): Record<string, unknown> {
     return Object.fromEntries(Object.entries(flags).filter(([name]) => name !== "--" && name !== "config"));
 }
@@ -47,9 +47,9 @@
     const http = new NodeHttp();
     const keyWatch = new KeyWatch();
     const ports = { clock: new SystemClock(), random: new SeededRandom(settings.seed), http, keyWatch };
-    const set = new StandInSet(ports, settings);
-    const platform = await set.startAll();
-    const control = await new ControlApi(http, set, keyWatch).start({
+    const emulator = new StandInSet(ports, settings);
+    const platform = await emulator.startAll();
+    const control = await new ControlApi(http, emulator, keyWatch).start({
         host: settings.host,
         port: settings.controlPort,
     });
@@ -57,9 +57,9 @@
         event: "ready",
         platform: formatAddress(platform),
         control: formatAddress(control.address),
-        upstreams: set.addresses(),
+        upstreams: emulator.addresses(),
     }));
-    const stop = (): void => void set.close().then(() => process.exit(0));
+    const stop = (): void => void emulator.close().then(() => process.exit(0));
     process.once("SIGTERM", stop);
     process.once("SIGINT", stop);
 }
--- a/src/emulator/orderLog/index.ts
+++ b/src/emulator/orderLog/index.ts
@@ -1,4 +1,4 @@
-/** An order as a stand-in takes it. */
+/** Order received by an emulated engine or the platform. */
 export interface ReceivedOrder {
     readonly orderId: string;
     readonly fencingToken: number;
@@ -7,51 +7,53 @@
 }
 
 /**
- * What became of an order. `fresh`: obeyed; `repeat`: the id had been obeyed before; `stale`: refused for its fencing
- * token.
+ * Outcome of an order.
+ * - `fresh`: to be executed.
+ * - `repeat`: an order with this id was accepted before.
+ * - `stale`: refused for its fencing token.
  */
 export type OrderVerdict = "fresh" | "repeat" | "stale";
 
-/** An order with what became of it. */
+/** Received order with its outcome. */
 export interface LoggedOrder extends ReceivedOrder {
-    /** Milliseconds on the monotonic clock. */
+    /** Arrival, in milliseconds on the monotonic clock. */
     readonly at: number;
     readonly verdict: OrderVerdict;
 }
 
 /**
- * All orders that one stand-in got, and its fencing check.
+ * Records all orders that one receiver got, and checks their fencing tokens.
  *
  * @example
- * if (log.receive(order, clock.monotonic()) === "fresh") obey(order);
+ * if (log.receive(order, clock.monotonic()) === "fresh") execute(order);
  */
 export class OrderLog {
-    /** In the order of arrival. */
+    /** All orders, by arrival. */
     readonly orders: LoggedOrder[] = [];
-    private readonly obeyed = new Set<string>();
-    private highestToken = Number.NEGATIVE_INFINITY;
+    private readonly executedOrderIds = new Set<string>();
+    private highestFencingToken = Number.NEGATIVE_INFINITY;
 
-    /** @param checksFence - Whether old fencing tokens are refused. */
+    /** @param checksFence - Whether orders with an old fencing token are refused. */
     constructor(readonly checksFence: boolean) {}
 
     /**
-     * Takes in an order and keeps it.
+     * Records an order and determines its outcome.
      *
-     * @param order - The order.
-     * @param at - Milliseconds on the monotonic clock.
-     * @returns What is to be done with it.
+     * @param order - Order to record.
+     * @param at - Arrival, in milliseconds on the monotonic clock.
+     * @returns Outcome of the order.
      */
     receive(order: ReceivedOrder, at: number): OrderVerdict {
-        const verdict = this.judge(order);
-        this.highestToken = Math.max(this.highestToken, order.fencingToken);
-        if (verdict === "fresh") this.obeyed.add(order.orderId);
+        const verdict = this.classify(order);
+        this.highestFencingToken = Math.max(this.highestFencingToken, order.fencingToken);
+        if (verdict === "fresh") this.executedOrderIds.add(order.orderId);
         this.orders.push({ ...order, at, verdict });
         return verdict;
     }
 
     /**
-     * How often an order was obeyed although one with a newer fencing token had come before: two senders took
-     * themselves to be in charge.
+     * Counts the orders that were accepted although an earlier one had a newer fencing token, which shows that two
+     * senders both assumed that they held the control lease.
      */
     countReversals(): number {
         let highest = Number.NEGATIVE_INFINITY;
@@ -63,8 +65,8 @@
         return reversals;
     }
 
-    private judge(order: ReceivedOrder): OrderVerdict {
-        if (this.checksFence && order.fencingToken < this.highestToken) return "stale";
-        return this.obeyed.has(order.orderId) ? "repeat" : "fresh";
+    private classify(order: ReceivedOrder): OrderVerdict {
+        if (this.checksFence && order.fencingToken < this.highestFencingToken) return "stale";
+        return this.executedOrderIds.has(order.orderId) ? "repeat" : "fresh";
     }
 }
--- a/src/emulator/orderReceiver/index.ts
+++ b/src/emulator/orderReceiver/index.ts
@@ -1,35 +1,41 @@
 import { Clock } from "../../ports/index.js";
 import { Offer, PlatformOrder, PlatformOrderReply } from "../../protocol/index.js";
-import { Fleet } from "../fleet/index.js";
 import { OrderLog } from "../orderLog/index.js";
+import { UpstreamProvisioner } from "../upstreamProvisioner/index.js";
 
-/** One upstream that an order started. */
-interface Leased {
+/** Upstream that the platform bills: started by an order, or running from the start. */
+interface Rental {
     readonly id: string;
     readonly offer: Offer;
-    /** Milliseconds on the monotonic clock. */
+    /** Start of the billed time, in milliseconds on the monotonic clock. */
     readonly startedAt: number;
+    /** End of the billed time, in the future during a reclaim notice; undefined while it runs. */
     stoppedAt: number | undefined;
 }
 
-/** What the orders came to up to now. */
+/** Statistics of the platform's orders. */
 export interface OrderStats {
+    /** Orders received, resends included. */
     readonly received: number;
+    /** Orders refused for an old fencing token. */
     readonly stale: number;
+    /** Accepted orders whose id had been accepted before. */
     readonly repeats: number;
-    /** Orders obeyed with an older fencing token than one before. */
+    /** Orders accepted although an earlier order had a newer fencing token. */
     readonly reversals: number;
+    /** Upstreams billed so far, those that run from the start included. */
     readonly started: number;
+    /** Upstreams stopped, or with notice of a reclaim. */
     readonly stopped: number;
-    /** Upstreams billed now. */
+    /** Upstreams neither stopped nor with notice of a reclaim. */
     readonly running: number;
-    /** What the upstreams cost up to now, billed minimums included, in micro-credits. */
+    /** Cost of the upstreams so far, billed minimums included, in micro-credits. */
     readonly spent: number;
 }
 
-/** An order that can't be obeyed. */
+/** The order can't be executed. */
 export class OrderError extends Error {
-    /** @param reason - What is wrong, in a word. */
+    /** @param reason - Error code. */
     constructor(readonly reason: "stale" | "no-offer" | "unavailable" | "unknown-upstream") {
         super(reason);
     }
@@ -37,23 +43,23 @@
 
 const MS_PER_HOUR = 3_600_000;
 
-/** The platform's orders: what is on offer, what runs, and what it costs. */
+/** Executes the platform's orders; keeps its offers, the upstreams that it bills and their cost. */
 export class OrderReceiver {
     readonly log: OrderLog;
-    private readonly leased = new Map<string, Leased>();
+    private readonly rentals = new Map<string, Rental>();
     private readonly replies = new Map<string, PlatformOrderReply>();
     private offers: readonly Offer[];
     private nextNumber = 1;
 
     /**
-     * @param clock - Time for starts and bills.
-     * @param fleet - Starts and stops the upstreams.
-     * @param offers - What is on offer at first.
-     * @param checksFence - Whether old fencing tokens are refused.
+     * @param clock - Times starts and billing.
+     * @param provisioner - Starts and stops the upstreams.
+     * @param offers - Initial offers.
+     * @param checksFence - Whether orders with an old fencing token are refused.
      */
     constructor(
         private readonly clock: Clock,
-        private readonly fleet: Fleet,
+        private readonly provisioner: UpstreamProvisioner,
         offers: readonly Offer[],
         checksFence: boolean,
     ) {
@@ -61,119 +67,119 @@
         this.log = new OrderLog(checksFence);
     }
 
-    /** What can be had now. */
+    /** Returns the current offers. */
     list(): readonly Offer[] {
         return this.offers;
     }
 
-    /** Changes what is on offer. */
+    /** Replaces the offers. */
     setOffers(offers: readonly Offer[]): void {
         this.offers = offers;
     }
 
     /**
-     * Obeys an order; one whose id was obeyed before gets its first answer again.
+     * Executes an order; a repeated order id gets the first reply again.
      *
-     * @param order - The order.
-     * @returns The answer.
-     * @throws OrderError when it can't be obeyed.
+     * @param order - Order to execute.
+     * @returns Reply to the order.
+     * @throws OrderError if it can't be executed.
      */
-    obey(order: PlatformOrder): PlatformOrderReply {
+    execute(order: PlatformOrder): PlatformOrderReply {
         const target = order.upstream ?? `${order.zone}/${order.pool}`;
         const verdict = this.log.receive(
             { orderId: order.order_id, fencingToken: order.fencing_token, action: order.action, target },
             this.clock.monotonic(),
         );
         if (verdict === "stale") throw new OrderError("stale");
-        const first = this.replies.get(order.order_id);
-        if (first) return first;
+        const previousReply = this.replies.get(order.order_id);
+        if (previousReply) return previousReply;
         const upstreams = order.action === "start" ? this.start(order) : this.stop(order);
         const reply = { order_id: order.order_id, upstreams };
         this.replies.set(order.order_id, reply);
         return reply;
     }
 
-    /** Bills an upstream that runs without an order. */
-    adopt(id: string, offer: Offer): void {
-        this.leased.set(id, { id, offer, startedAt: this.clock.monotonic(), stoppedAt: undefined });
+    /** Starts to bill an upstream that runs without an order. */
+    addRunning(id: string, offer: Offer): void {
+        this.rentals.set(id, { id, offer, startedAt: this.clock.monotonic(), stoppedAt: undefined });
     }
 
-    /** What an upstream was started by, or undefined. */
+    /** Returns the offer that an upstream is billed by, or undefined if the id is unknown. */
     offerOf(id: string): Offer | undefined {
-        return this.leased.get(id)?.offer;
+        return this.rentals.get(id)?.offer;
     }
 
-    /** Takes a zone's reclaimable upstreams back, and offers none there from now on. */
+    /** Reclaims a zone's reclaimable upstreams after the notice, and sets their availability in this zone to 0. */
     reclaimZone(zone: string, noticeMs: number): void {
         this.offers = this.offers.map(offer =>
             offer.zone === zone && offer.reclaimable ? { ...offer, available: 0 } : offer
         );
-        for (const lease of this.leased.values()) {
-            if (lease.offer.zone !== zone || !lease.offer.reclaimable || lease.stoppedAt !== undefined) continue;
-            lease.stoppedAt = this.clock.monotonic() + noticeMs;
-            this.fleet.reclaim(lease.id, noticeMs);
+        for (const rental of this.rentals.values()) {
+            if (rental.offer.zone !== zone || !rental.offer.reclaimable || rental.stoppedAt !== undefined) continue;
+            rental.stoppedAt = this.clock.monotonic() + noticeMs;
+            this.provisioner.reclaim(rental.id, noticeMs);
         }
     }
 
-    /** What the orders came to up to now. */
+    /** Returns the statistics so far. */
     stats(): OrderStats {
-        const leased = [...this.leased.values()];
+        const rentals = [...this.rentals.values()];
         const { orders } = this.log;
         return {
             received: orders.length,
             stale: orders.filter(order => order.verdict === "stale").length,
             repeats: orders.filter(order => order.verdict === "repeat").length,
             reversals: this.log.countReversals(),
-            started: leased.length,
-            stopped: leased.filter(lease => lease.stoppedAt !== undefined).length,
-            running: leased.filter(lease => lease.stoppedAt === undefined).length,
-            spent: leased.reduce((sum, lease) => sum + this.bill(lease), 0),
+            started: rentals.length,
+            stopped: rentals.filter(rental => rental.stoppedAt !== undefined).length,
+            running: rentals.filter(rental => rental.stoppedAt === undefined).length,
+            spent: rentals.reduce((sum, rental) => sum + this.costOf(rental), 0),
         };
     }
 
     private start(order: PlatformOrder): string[] {
-        const count = order.count ?? 1;
+        const startCount = order.count ?? 1;
         const offer = this.offers.find(candidate =>
             candidate.zone === order.zone && candidate.pool === order.pool
             && candidate.reclaimable === order.reclaimable
         );
         if (!offer) throw new OrderError("no-offer");
-        if (offer.available < count) throw new OrderError("unavailable");
-        this.changeAvailable(offer, -count);
-        return Array.from({ length: count }, () => this.startOne(offer));
+        if (offer.available < startCount) throw new OrderError("unavailable");
+        this.changeAvailable(offer, -startCount);
+        return Array.from({ length: startCount }, () => this.startOne(offer));
     }
 
     private startOne(offer: Offer): string {
         const id = `${offer.pool}-${offer.zone}-p${this.nextNumber++}`;
-        const lease: Leased = { id, offer, startedAt: this.clock.monotonic(), stoppedAt: undefined };
-        this.leased.set(id, lease);
+        const rental: Rental = { id, offer, startedAt: this.clock.monotonic(), stoppedAt: undefined };
+        this.rentals.set(id, rental);
         this.clock.after(offer.start_ms, () => {
-            if (lease.stoppedAt === undefined) void this.fleet.start({ id, offer });
+            if (rental.stoppedAt === undefined) void this.provisioner.start({ id, offer });
         });
         return id;
     }
 
     private stop(order: PlatformOrder): string[] {
-        const lease = this.leased.get(order.upstream ?? "");
-        if (!lease) throw new OrderError("unknown-upstream");
-        if (lease.stoppedAt !== undefined) return [lease.id];
-        lease.stoppedAt = this.clock.monotonic();
-        this.changeAvailable(lease.offer, 1);
-        void this.fleet.stop(lease.id);
-        return [lease.id];
+        const rental = this.rentals.get(order.upstream ?? "");
+        if (!rental) throw new OrderError("unknown-upstream");
+        if (rental.stoppedAt !== undefined) return [rental.id];
+        rental.stoppedAt = this.clock.monotonic();
+        this.changeAvailable(rental.offer, 1);
+        void this.provisioner.stop(rental.id);
+        return [rental.id];
     }
 
-    private changeAvailable(changed: Offer, by: number): void {
+    private changeAvailable(changed: Offer, delta: number): void {
         this.offers = this.offers.map(offer =>
             offer.zone === changed.zone && offer.pool === changed.pool && offer.reclaimable === changed.reclaimable
-                ? { ...offer, available: Math.max(0, offer.available + by) }
+                ? { ...offer, available: Math.max(0, offer.available + delta) }
                 : offer
         );
     }
 
-    private bill(lease: Leased): number {
-        const end = lease.stoppedAt ?? this.clock.monotonic();
-        const ms = Math.max(lease.offer.billed_minimum_ms, end - lease.startedAt);
-        return ms / MS_PER_HOUR * lease.offer.price_per_hour;
+    private costOf(rental: Rental): number {
+        const endMs = rental.stoppedAt ?? this.clock.monotonic();
+        const billedMs = Math.max(rental.offer.billed_minimum_ms, endMs - rental.startedAt);
+        return billedMs / MS_PER_HOUR * rental.offer.price_per_hour;
     }
 }
--- a/src/emulator/prefixCache/index.ts
+++ b/src/emulator/prefixCache/index.ts
@@ -2,47 +2,47 @@
 
 type CacheEvent = CacheEvents["events"][number];
 
-/** Told of each prefix that enters or leaves. */
+/** Called for each prefix that is stored or evicted. */
 export type CacheListener = (event: CacheEvent) => void;
 
 /**
- * An engine's bounded cache of prompt prefixes; the block used longest ago leaves first.
+ * An engine's bounded cache of prompt prefixes; the least recently used block is evicted first.
  *
  * @example
  * const cache = new PrefixCache(512, event => feed.add(event));
  * const cachedBlocks = cache.use(hashPrefixes(messages));
  */
 export class PrefixCache {
-    /** Oldest use first: a Map keeps the order in which its entries were set. */
+    /** Least recently used first: a Map keeps the insertion order of its entries. */
     private readonly blocks = new Map<string, true>();
 
     /**
-     * @param capacity - How many blocks fit.
-     * @param listener - Told of each change.
+     * @param capacity - Maximum number of blocks.
+     * @param listener - Called for each change.
      */
     constructor(private readonly capacity: number, private readonly listener: CacheListener) {}
 
-    /** How many blocks are held. */
+    /** Number of cached blocks. */
     get size(): number {
         return this.blocks.size;
     }
 
     /**
-     * Looks a prompt up, then keeps all of its prefixes.
+     * Looks up a prompt's prefixes, then caches all of them.
      *
-     * @param prefixes - The prompt's prefixes, the shortest first.
-     * @returns How many of them, from the shortest on, were held before.
+     * @param prefixes - Prefixes of the prompt, shortest first.
+     * @returns Number of leading prefixes that were cached before.
      */
     use(prefixes: readonly string[]): number {
-        const missing = prefixes.findIndex(prefix => !this.blocks.has(prefix));
-        const held = missing < 0 ? prefixes.length : missing;
+        const firstMissing = prefixes.findIndex(prefix => !this.blocks.has(prefix));
+        const cachedCount = firstMissing < 0 ? prefixes.length : firstMissing;
         this.keep(prefixes);
-        return held;
+        return cachedCount;
     }
 
-    /** Keeps prefixes as the ones used last. */
+    /** Caches prefixes and marks them as the most recently used. */
     keep(prefixes: readonly string[]): void {
-        // The longest is touched first, so that it also leaves first: a block without its parent is of no use.
+        // The longest prefix is touched first, so that it is also evicted first: a block is useless without its parent.
         for (const prefix of [...prefixes].reverse()) {
             const isNew = !this.blocks.delete(prefix);
             this.blocks.set(prefix, true);
--- a/src/emulator/prefixCache/test.ts
+++ b/src/emulator/prefixCache/test.ts
@@ -4,13 +4,13 @@
 import { PrefixCache } from "./index.js";
 
 describe("PrefixCache", () => {
-    it("counts the prefixes held, from the shortest on", () => {
+    it("counts the leading prefixes that are cached", () => {
         const cache = new PrefixCache(8, () => undefined);
         assert.equal(cache.use(["a", "ab", "abc"]), 0);
         assert.equal(cache.use(["a", "ab", "abx"]), 2);
     });
 
-    it("stays within its bound, and the block used longest ago leaves first, a child before its parent", () => {
+    it("evicts the least recently used block beyond its capacity, a child before its parent", () => {
         const evicted: string[] = [];
         const cache = new PrefixCache(3, event => {
             if (event.kind === "evicted") evicted.push(event.prefix);
@@ -24,7 +24,7 @@
 });
 
 describe("hashPrefixes", () => {
-    it("gives prompts with a common beginning common names, up to where they part", () => {
+    it("returns equal hashes for the common blocks of two prompts, and different ones from where they differ", () => {
         const shared = "s".repeat(2 * PREFIX_BLOCK_CHARACTERS);
         const [a, b] = ["a", "b"].map(letter =>
             hashPrefixes([{ role: "user", content: shared + letter.repeat(PREFIX_BLOCK_CHARACTERS) }])
--- a/src/emulator/runLedger/index.ts
+++ b/src/emulator/runLedger/index.ts
@@ -1,57 +1,58 @@
 import { createHash } from "node:crypto";
 
-/** A call of a plain service, and how often it ran. */
+/** Runs of one call of a plain service. */
 export interface CallRuns {
+    /** Pool name of the service. */
     readonly service: string;
-    /** From `digestBody`. */
+    /** Digest of the call's body, from `digestBody`. */
     readonly digest: string;
     readonly runs: number;
 }
 
-/** Runs of plain-service calls, counted by what was sent: shared by all instances of a service. */
+/** Counts runs of plain-service calls by the digest of their body. Shared by all instances of a service. */
 export class RunLedger {
-    private readonly runs = new Map<string, number>();
+    private readonly runCounts = new Map<string, number>();
 
     /**
-     * Notes one run.
+     * Records one run.
      *
-     * @param service - The pool's name.
-     * @param digest - From `digestBody`.
-     * @returns How often this call has run, this time included.
+     * @param service - Pool name of the service.
+     * @param digest - Digest of the call's body, from `digestBody`.
+     * @returns Number of runs of this call so far, this one included.
      */
     record(service: string, digest: string): number {
-        const name = `${service} ${digest}`;
-        const count = (this.runs.get(name) ?? 0) + 1;
-        this.runs.set(name, count);
+        const key = `${service} ${digest}`;
+        const count = (this.runCounts.get(key) ?? 0) + 1;
+        this.runCounts.set(key, count);
         return count;
     }
 
-    /** How many different calls ran. */
-    get distinct(): number {
-        return this.runs.size;
+    /** Number of different calls that ran. */
+    get distinctCallCount(): number {
+        return this.runCounts.size;
     }
 
     /** Whether a call has run. */
     has(service: string, digest: string): boolean {
-        return this.runs.has(`${service} ${digest}`);
+        return this.runCounts.has(`${service} ${digest}`);
     }
 
-    /** All calls that ran. */
+    /** Returns the runs of all calls. */
     list(): CallRuns[] {
-        return [...this.runs].map(([name, runs]) => {
+        return [...this.runCounts].map(([name, runs]) => {
             const [service, digest] = name.split(" ");
             return { service, digest, runs };
         });
     }
 
-    /** The calls that ran more than once, as `service digest`. */
+    /** Returns the calls that ran more than once, as `service digest`. */
     doubled(): string[] {
-        return [...this.runs].filter(([, count]) => count > 1).map(([name]) => name);
+        return [...this.runCounts].filter(([, count]) => count > 1).map(([name]) => name);
     }
 }
 
 /**
- * The SHA-256 of a call's body, in hex.
+ * Computes the SHA-256 of a call's body, in hex.
  *
  * @example
  * digestBody(Buffer.from("{}"));
--- a/src/emulator/serviceFaults/index.ts
+++ b/src/emulator/serviceFaults/index.ts
@@ -1,10 +1,10 @@
 /**
- * A fault in one call of a plain service.
- * - `late`: the call runs, and its answer is late.
- * - `lost`: the call runs, and its connection is reset before the answer.
- * - `silent`: the call runs, and nothing comes back over the open connection.
- * - `crossed`: the call runs, and its answer carries another request's id.
- * - `refused`: the call does not run.
+ * Fault to inject into one call of a plain service.
+ * - `late`: the call runs, and its answer is delayed.
+ * - `lost`: the call runs, and the connection is reset before the answer.
+ * - `silent`: the call runs, but is never answered, and the connection stays open.
+ * - `crossed`: the call runs, and its answer has another request's id.
+ * - `refused`: the call does not run; the answer is an error status.
  */
 export type ServiceFault =
     | { readonly kind: "late"; readonly delayMs: number; }
--- a/src/emulator/standInSet/index.ts
+++ b/src/emulator/standInSet/index.ts
@@ -1,69 +1,70 @@
 import { Address } from "../../ports/index.js";
 import { Offer } from "../../protocol/index.js";
-import { StandInPorts } from "../_lib/standInPorts.js";
+import { EmulatorPorts } from "../_lib/emulatorPorts.js";
 import { AnnouncerConfig } from "../announcer/index.js";
 import { ChatLedger } from "../chatLedger/index.js";
+import { EmulatedPlatform, PlatformStats } from "../emulatedPlatform/index.js";
+import { EmulatedService, ServiceStats } from "../emulatedService/index.js";
 import { EmulatorSettings } from "../emulatorSettings/index.js";
 import { EngineStandIn, EngineStats } from "../engineStandIn/index.js";
-import { Fleet, StartRequest } from "../fleet/index.js";
-import { KeySightings } from "../keyWatch/index.js";
-import { PlatformStandIn, PlatformStats } from "../platformStandIn/index.js";
+import { KeyLeakCounts } from "../keyWatch/index.js";
 import { RunLedger } from "../runLedger/index.js";
-import { ServiceStandIn, ServiceStats } from "../serviceStandIn/index.js";
+import { StartRequest, UpstreamProvisioner } from "../upstreamProvisioner/index.js";
 import { UpstreamIdentity } from "../upstreamState/index.js";
 
-/** What all stand-ins together have done up to now. */
-export interface SetStats {
+/** Statistics of all emulated upstreams and the platform. */
+export interface EmulatorStats {
     readonly engines: readonly EngineStats[];
     readonly services: readonly ServiceStats[];
     readonly platform: PlatformStats;
-    /** Tokens given by all engines. */
+    /** Tokens produced by all engines, also before restarts. */
     readonly tokens: number;
-    /** Different calls of plain services that ran, and those that ran more than once. */
+    /** Number of different calls of plain services that ran. */
     readonly calls: number;
+    /** Calls of plain services that ran more than once, as `service digest`. */
     readonly doubledCalls: readonly string[];
-    readonly keys: KeySightings;
+    readonly keys: KeyLeakCounts;
 }
 
-const WEIGHT_BYTES = 65_536;
+const WEIGHT_FILE_BYTES = 65_536;
 
 /**
- * A platform with its engines and plain services, made from one set of settings.
+ * The emulated platform with its engines and plain services, built from the emulator's settings.
  *
  * @example
- * const set = new StandInSet(ports, settings);
- * const platformAddress = await set.startAll();
+ * const emulator = new StandInSet(ports, settings);
+ * const platformAddress = await emulator.startAll();
  */
-export class StandInSet extends Fleet {
-    readonly platform: PlatformStandIn;
+export class StandInSet extends UpstreamProvisioner {
+    readonly platform: EmulatedPlatform;
     readonly ledger = new RunLedger();
     readonly chats = new ChatLedger();
     readonly engines = new Map<string, EngineStandIn>();
-    readonly services = new Map<string, ServiceStandIn>();
+    readonly services = new Map<string, EmulatedService>();
     private entries: readonly Address[];
-    /** Tokens given by engines that were restarted since. */
-    private earlierTokens = 0;
+    /** Tokens that engines had produced before they were restarted. */
+    private tokensBeforeRestarts = 0;
 
     /**
-     * @param ports - What all of them run on.
-     * @param settings - How many there are, and what they are like.
+     * @param ports - Clock, random numbers, HTTP and key leak detector, shared by all.
+     * @param settings - Numbers, timing, zones and prices of the upstreams, and the platform's settings.
      */
-    constructor(private readonly ports: StandInPorts, private readonly settings: EmulatorSettings) {
+    constructor(private readonly ports: EmulatorPorts, private readonly settings: EmulatorSettings) {
         super();
         this.entries = settings.entries;
-        this.platform = new PlatformStandIn(ports, this, {
+        this.platform = new EmulatedPlatform(ports, this, {
             address: { host: settings.host, port: settings.platformPort },
             offers: makeOffers(settings),
             checksFence: settings.platformChecksFence,
             weights: { ratePerSecond: settings.weightRate, burst: settings.weightBurst },
-            weightBytes: WEIGHT_BYTES,
+            weightBytes: WEIGHT_FILE_BYTES,
         });
     }
 
     /**
-     * Starts the platform and the upstreams that run from the first.
+     * Starts the platform and the initial upstreams.
      *
-     * @returns The platform's address.
+     * @returns Address of the platform.
      */
     async startAll(): Promise<Address> {
         const { engines, services, zones, pool, service } = this.settings;
@@ -71,11 +72,11 @@
         for (let number = 1; number <= engines; number++) {
             const zone = zones[(number - 1) % zones.length];
             const reclaimable = this.settings.reclaimableZones.includes(zone);
-            await this.startFirst(`${pool}-${zone}-${number}`, pool, makeOffer(this.settings, zone, reclaimable));
+            await this.startInitial(`${pool}-${zone}-${number}`, pool, makeOffer(this.settings, zone, reclaimable));
         }
         for (let number = 1; number <= services; number++) {
             const zone = zones[(number - 1) % zones.length];
-            await this.startFirst(`${service}-${zone}-${number}`, service, makeOffer(this.settings, zone, false));
+            await this.startInitial(`${service}-${zone}-${number}`, service, makeOffer(this.settings, zone, false));
         }
         return address;
     }
@@ -95,55 +96,55 @@
         this.find(id)?.reclaim(noticeMs);
     }
 
-    /** Starts an upstream again under its id, as a new incarnation with an empty cache; one that still runs crashes. */
+    /** Restarts an upstream under its id, as a new incarnation with an empty cache; crashes it first if it still runs. */
     async restart(id: string): Promise<void> {
         const offer = this.platform.orders.offerOf(id);
         if (!offer) return;
         await this.find(id)?.crash();
-        this.earlierTokens += this.engines.get(id)?.stats().tokens ?? 0;
+        this.tokensBeforeRestarts += this.engines.get(id)?.stats().tokens ?? 0;
         await this.start({ id, offer });
     }
 
-    /** The upstream of an id, or undefined. */
-    find(id: string): EngineStandIn | ServiceStandIn | undefined {
+    /** Returns the upstream with the id, or undefined. */
+    find(id: string): EngineStandIn | EmulatedService | undefined {
         return this.engines.get(id) ?? this.services.get(id);
     }
 
-    /** Changes which entries are told of all upstreams, also of those that start later. */
+    /** Replaces the entries to which all upstreams announce themselves, also those started later. */
     setEntries(entries: readonly Address[]): void {
         this.entries = entries;
         for (const upstream of [...this.engines.values(), ...this.services.values()]) upstream.setEntries(entries);
     }
 
-    /** Ends all of them at once. */
+    /** Closes the platform and crashes all upstreams. */
     async close(): Promise<void> {
         const upstreams = [...this.engines.values(), ...this.services.values()];
         await Promise.all([this.platform.close(), ...upstreams.map(upstream => upstream.crash())]);
     }
 
-    /** What all of them have done up to now. */
-    stats(): SetStats {
+    /** Returns the statistics so far. */
+    stats(): EmulatorStats {
         const engines = [...this.engines.values()].map(engine => engine.stats());
         return {
             engines,
             services: [...this.services.values()].map(service => service.stats()),
             platform: this.platform.stats(),
-            tokens: engines.reduce((sum, engine) => sum + engine.tokens, this.earlierTokens),
-            calls: this.ledger.distinct,
+            tokens: engines.reduce((sum, engine) => sum + engine.tokens, this.tokensBeforeRestarts),
+            calls: this.ledger.distinctCallCount,
             doubledCalls: this.ledger.doubled(),
-            keys: this.ports.keyWatch.sightings(),
+            keys: this.ports.keyWatch.counts(),
         };
     }
 
-    /** The addresses of the upstreams, for the one who started the set. */
+    /** Returns the addresses of all upstreams. */
     addresses(): readonly string[] {
         return [...this.engines.values(), ...this.services.values()].map(upstream => upstream.address);
     }
 
-    /** Starts an upstream that the platform bills as if it had been ordered at this moment. */
-    private async startFirst(id: string, pool: string, like: Offer): Promise<void> {
-        const offer = { ...like, pool };
-        this.platform.orders.adopt(id, offer);
+    /** Starts an upstream that the platform bills from now on, as if it had been ordered. */
+    private async startInitial(id: string, pool: string, template: Offer): Promise<void> {
+        const offer = { ...template, pool };
+        this.platform.orders.addRunning(id, offer);
         await this.start({ id, offer });
     }
 
@@ -167,7 +168,7 @@
             pace: settings,
             cacheBlocks: settings.cacheBlocks,
             meanTokens: settings.meanTokens,
-            announcer: this.makeAnnouncer(),
+            announcer: this.makeAnnouncerConfig(),
         }, this.chats);
         this.engines.set(identity.id, engine);
         await engine.start();
@@ -175,19 +176,19 @@
 
     private async startService(identity: UpstreamIdentity): Promise<void> {
         const { settings } = this;
-        const service = new ServiceStandIn(this.ports, this.ledger, {
+        const service = new EmulatedService(this.ports, this.ledger, {
             identity,
             address: { host: settings.host, port: 0 },
             slots: settings.serviceSlots,
             minLatencyMs: settings.serviceMinMs,
             maxLatencyMs: settings.serviceMaxMs,
-            announcer: this.makeAnnouncer(),
+            announcer: this.makeAnnouncerConfig(),
         });
         this.services.set(identity.id, service);
         await service.start();
     }
 
-    private makeAnnouncer(): AnnouncerConfig {
+    private makeAnnouncerConfig(): AnnouncerConfig {
         const { spread, announceMs, loadLagMs, cacheLagMs, cacheLoss } = this.settings;
         return { entries: this.entries, spread, intervalMs: announceMs, loadLagMs, cacheLagMs, cacheLoss };
     }
--- a/src/emulator/standInSet/test.ts
+++ b/src/emulator/standInSet/test.ts
@@ -11,16 +11,16 @@
 const MESSAGES = [{ role: "user", content: "Cuts for Friday [tokens=5]" }];
 const TIMEOUT_MS = 10_000;
 
-describe("StandInSet", () => {
-    it("serves over TCP as it does in memory, and counts keys that reach it", async () => {
+describe("Emulator", () => {
+    it("serves chat requests over TCP, and counts callers' keys that reach it", async () => {
         const http = new NodeHttp();
         const keyWatch = new KeyWatch();
         const ports = { clock: new SystemClock(), random: new SeededRandom(1), http, keyWatch };
-        const set = new StandInSet(ports, { ...DEFAULT_EMULATOR_SETTINGS, engines: 1, services: 1 });
+        const emulator = new StandInSet(ports, { ...DEFAULT_EMULATOR_SETTINGS, engines: 1, services: 1 });
         keyWatch.add("leaked-key");
         try {
-            await set.startAll();
-            const [engine] = set.engines.values();
+            await emulator.startAll();
+            const [engine] = emulator.engines.values();
             const [host, port] = engine.address.split(":");
             const reply = await postJson(http, { host, port: Number(port) }, ENGINE_PATHS.chat, {
                 model: "draft",
@@ -36,11 +36,11 @@
             const contents = [...text.matchAll(/"content":"([^"]*)"/g)].map(([, content]) => content).join("");
             assert.equal(contents, expectedAnswer(MESSAGES, answerLength(MESSAGES)));
             assert.match(text, /data: \[DONE\]\n\n$/);
-            assert.equal(set.stats().keys.watchedKeys, 1);
-            assert.deepEqual(set.chats.list(), [{ request: "r1", runs: 1, tokens: 5 }]);
+            assert.equal(emulator.stats().keys.watchedKeys, 1);
+            assert.deepEqual(emulator.chats.list(), [{ request: "r1", runs: 1, tokens: 5 }]);
         }
         finally {
-            await set.close();
+            await emulator.close();
         }
     });
 });
--- a/src/emulator/fleet/index.ts
+++ b/src/emulator/upstreamProvisioner/index.ts
@@ -1,25 +1,25 @@
 import { Offer } from "../../protocol/index.js";
 
-/** One upstream that the platform is to start. */
+/** Upstream to start for the platform. */
 export interface StartRequest {
     readonly id: string;
     readonly offer: Offer;
 }
 
 /** Starts and stops upstreams for the platform. */
-export abstract class Fleet {
+export abstract class UpstreamProvisioner {
     /** Starts an upstream; it announces itself once it runs. */
     abstract start(request: StartRequest): Promise<void>;
 
-    /** Stops an upstream as planned; harmless when it is not there. */
+    /** Stops an upstream gracefully; no-op if it doesn't exist. */
     abstract stop(id: string): Promise<void>;
 
-    /** Gives notice to an upstream, and takes it away when the time is up. */
+    /** Notifies an upstream of its reclaim, and crashes it when the notice has expired. */
     abstract reclaim(id: string, noticeMs: number): void;
 }
 
 /** Starts nothing; for tests of orders alone. */
-export class NoFleet extends Fleet {
+export class NoopUpstreamProvisioner extends UpstreamProvisioner {
     async start(): Promise<void> {}
     async stop(): Promise<void> {}
     reclaim(): void {}
--- a/src/emulator/upstreamState/index.ts
+++ b/src/emulator/upstreamState/index.ts
@@ -1,66 +1,68 @@
 import { Clock } from "../../ports/index.js";
 import { Announcement } from "../../protocol/index.js";
 
-type State = Announcement["state"];
+type AnnouncedState = Announcement["state"];
 
-/** What a stand-in says of itself, beside what its kind adds. */
+/** Announced properties that don't depend on the kind of an upstream. */
 export interface UpstreamIdentity {
     readonly id: string;
     readonly incarnation: number;
+    /** Models or service that it serves at the start. */
     readonly pools: readonly string[];
     readonly zone: string;
-    /** Micro-credits for an hour. */
+    /** Price in micro-credits per hour. */
     readonly pricePerHour: number;
     readonly reclaimable: boolean;
+    /** Whether it refuses orders with an old fencing token. */
     readonly checksFence: boolean;
 }
 
-/** How long after the first word of leaving new work may still come, in milliseconds. */
+/** Time after the first leaving announcement in which new requests do not count as late, in milliseconds. */
 const LEAVING_GRACE_MS = 2_000;
 
-/** Whether an upstream takes work: ready, then leaving, then gone. */
+/** Announced state of an upstream: ready, then leaving, then gone. Counts requests that arrive too late. */
 export class UpstreamState {
-    private state: State = "ready";
-    private leftAt = 0;
-    private reclaimAt: number | undefined;
-    private late = 0;
+    private state: AnnouncedState = "ready";
+    private leavingAtMs = 0;
+    private reclaimAtMs: number | undefined;
+    private lateCount = 0;
 
-    /** @param clock - Time for reclaim notices. */
+    /** @param clock - Times reclaim notices and late requests. */
     constructor(private readonly clock: Clock) {}
 
-    get current(): State {
+    get current(): AnnouncedState {
         return this.state;
     }
 
-    /** How many requests came later than two seconds after the upstream said that it leaves. */
+    /** Number of requests that arrived more than 2 s after the upstream announced that it leaves. */
     get lateRequests(): number {
-        return this.late;
+        return this.lateCount;
     }
 
     /**
-     * Begins to leave.
+     * Changes from ready to leaving; no-op in other states.
      *
-     * @param reclaimInMs - When the platform takes the upstream back, if it does.
+     * @param reclaimInMs - Time until the platform reclaims the upstream, in milliseconds; undefined without a reclaim.
      */
     leave(reclaimInMs?: number): void {
         if (this.state !== "ready") return;
         this.state = "leaving";
-        this.leftAt = this.clock.monotonic();
-        if (reclaimInMs !== undefined) this.reclaimAt = this.leftAt + reclaimInMs;
+        this.leavingAtMs = this.clock.monotonic();
+        if (reclaimInMs !== undefined) this.reclaimAtMs = this.leavingAtMs + reclaimInMs;
     }
 
-    /** Says the last word. */
+    /** Changes to gone, the last state. */
     markGone(): void {
         this.state = "gone";
     }
 
-    /** Notes that a request has come. */
-    noteRequest(): void {
-        if (this.state !== "ready" && this.clock.monotonic() - this.leftAt > LEAVING_GRACE_MS) this.late++;
+    /** Records the arrival of a request. */
+    recordRequest(): void {
+        if (this.state !== "ready" && this.clock.monotonic() - this.leavingAtMs > LEAVING_GRACE_MS) this.lateCount++;
     }
 
-    /** The time left until the reclaim, for announcements. */
+    /** Returns the time left until the reclaim, in milliseconds; undefined without a reclaim. */
     reclaimInMs(): number | undefined {
-        return this.reclaimAt === undefined ? undefined : Math.max(0, this.reclaimAt - this.clock.monotonic());
+        return this.reclaimAtMs === undefined ? undefined : Math.max(0, this.reclaimAtMs - this.clock.monotonic());
     }
 }
--- a/src/emulator/usageReceiver/index.ts
+++ b/src/emulator/usageReceiver/index.ts
@@ -1,88 +1,90 @@
 import { isDeepStrictEqual } from "node:util";
 import { UsageReport } from "../../protocol/index.js";
 
-/** A usage report with when it came. */
+/** Received usage report. */
 export interface ReceivedReport {
     readonly report: UsageReport;
-    /** Milliseconds on the monotonic clock. */
+    /** Arrival, in milliseconds on the monotonic clock. */
     readonly at: number;
-    /** It was refused for an old fencing token. */
+    /** Whether it was refused for an old fencing token. */
     readonly isStale: boolean;
 }
 
-/** What the reports came to up to now. */
+/** Statistics of the usage reports. */
 export interface UsageStats {
     /** Reports received, resends included. */
     readonly received: number;
-    /** Report ids accepted. */
+    /** Number of different report ids accepted. */
     readonly reports: number;
-    /** Windows reported. */
+    /** Number of windows reported, adjustments not counted. */
     readonly windows: number;
-    /** Report ids that came again with other figures. */
+    /** Number of report ids that were resent with different figures. */
     readonly conflicting: number;
-    /** Windows that came under more than one report id without naming what they adjust. */
+    /** Surplus reports of windows reported under several ids, adjustments not counted. */
     readonly doubledWindows: number;
-    /** Reports accepted with an older fencing token than one before. */
+    /** Reports accepted although an earlier report had a newer fencing token. */
     readonly reversals: number;
+    /** Completion tokens in all accepted reports. */
     readonly completionTokens: number;
+    /** Requests in all accepted reports. */
     readonly requests: number;
 }
 
 /**
- * Keeps every usage report, and says which windows were reported twice with different figures.
+ * Records every usage report, and detects windows that were reported twice or resent with different figures.
  *
  * @example
  * if (receiver.receive(report, clock.monotonic())) accept();
  */
 export class UsageReceiver {
-    /** In the order of arrival. */
+    /** All reports, by arrival. */
     readonly received: ReceivedReport[] = [];
-    private readonly accepted = new Map<string, UsageReport>();
-    private readonly conflicting = new Set<string>();
-    private highestToken = Number.NEGATIVE_INFINITY;
-    private reversals = 0;
+    private readonly acceptedReports = new Map<string, UsageReport>();
+    private readonly conflictingReportIds = new Set<string>();
+    private highestFencingToken = Number.NEGATIVE_INFINITY;
+    private reversalCount = 0;
 
-    /** @param checksFence - Whether old fencing tokens are refused. */
+    /** @param checksFence - Whether reports with an old fencing token are refused. */
     constructor(private readonly checksFence: boolean) {}
 
     /**
-     * Takes in a report.
+     * Records a report.
      *
-     * @param report - The report.
-     * @param at - Milliseconds on the monotonic clock.
-     * @returns False when it is refused for its fencing token.
+     * @param report - Report to record.
+     * @param at - Arrival, in milliseconds on the monotonic clock.
+     * @returns False if it is refused for its fencing token.
      */
     receive(report: UsageReport, at: number): boolean {
-        const isOld = report.fencing_token < this.highestToken;
-        const isStale = isOld && this.checksFence;
-        this.highestToken = Math.max(this.highestToken, report.fencing_token);
+        const hasOldToken = report.fencing_token < this.highestFencingToken;
+        const isStale = hasOldToken && this.checksFence;
+        this.highestFencingToken = Math.max(this.highestFencingToken, report.fencing_token);
         this.received.push({ report, at, isStale });
         if (isStale) return false;
-        if (isOld) this.reversals++;
-        const first = this.accepted.get(report.report_id);
-        if (!first) this.accepted.set(report.report_id, report);
-        else if (!hasSameFigures(first, report)) this.conflicting.add(report.report_id);
+        if (hasOldToken) this.reversalCount++;
+        const previous = this.acceptedReports.get(report.report_id);
+        if (!previous) this.acceptedReports.set(report.report_id, report);
+        else if (!hasSameFigures(previous, report)) this.conflictingReportIds.add(report.report_id);
         return true;
     }
 
-    /** The ids of reports that came again with other figures. */
-    conflicts(): string[] {
-        return [...this.conflicting];
+    /** Returns the ids of reports that were resent with different figures. */
+    conflictingIds(): string[] {
+        return [...this.conflictingReportIds];
     }
 
-    /** What the reports came to up to now. */
+    /** Returns the statistics so far. */
     stats(): UsageStats {
-        const reports = [...this.accepted.values()];
-        const plain = reports.filter(report => !("adjusts" in report));
-        const windows = new Set(plain.map(report => report.window_start));
+        const reports = [...this.acceptedReports.values()];
+        const originals = reports.filter(report => !("adjusts" in report));
+        const windows = new Set(originals.map(report => report.window_start));
         const lines = reports.flatMap(report => report.lines);
         return {
             received: this.received.length,
             reports: reports.length,
             windows: windows.size,
-            conflicting: this.conflicting.size,
-            doubledWindows: plain.length - windows.size,
-            reversals: this.reversals,
+            conflicting: this.conflictingReportIds.size,
+            doubledWindows: originals.length - windows.size,
+            reversals: this.reversalCount,
             completionTokens: lines.reduce((sum, line) => sum + line.completion_tokens, 0),
             requests: lines.reduce((sum, line) => sum + line.requests, 0),
         };
--- a/src/emulator/weightStore/index.ts
+++ b/src/emulator/weightStore/index.ts
@@ -1,46 +1,46 @@
 import { Clock } from "../../ports/index.js";
 
-/** How fast the weight store gives weights. */
+/** Rate limit of the weight store. */
 export interface WeightStoreConfig {
-    /** Fetches a second, on average. */
+    /** Fetches per second, on average. */
     readonly ratePerSecond: number;
-    /** Fetches at once after a pause. */
+    /** Maximum number of fetches at once after a pause. */
     readonly burst: number;
 }
 
-/** The rate limit of the weight store: a token bucket. */
+/** Rate limit of the weight store, as a token bucket. */
 export class WeightStore {
-    private fetches = 0;
-    private refusals = 0;
+    private fetchCount = 0;
+    private refusalCount = 0;
     private tokens: number;
-    private filledAt: number;
+    private refilledAtMs: number;
 
     constructor(private readonly clock: Clock, private readonly cfg: WeightStoreConfig) {
         this.tokens = cfg.burst;
-        this.filledAt = clock.monotonic();
+        this.refilledAtMs = clock.monotonic();
     }
 
     /**
-     * Asks for one fetch.
+     * Allows or refuses one fetch.
      *
-     * @returns 0 when it may go on, else after how many milliseconds to come back.
+     * @returns 0 if it is allowed, otherwise the time until a retry, in milliseconds.
      */
-    ask(): number {
+    tryFetch(): number {
         const now = this.clock.monotonic();
-        const filled = this.tokens + (now - this.filledAt) / 1_000 * this.cfg.ratePerSecond;
+        const filled = this.tokens + (now - this.refilledAtMs) / 1_000 * this.cfg.ratePerSecond;
         this.tokens = Math.min(this.cfg.burst, filled);
-        this.filledAt = now;
+        this.refilledAtMs = now;
         if (this.tokens >= 1) {
             this.tokens--;
-            this.fetches++;
+            this.fetchCount++;
             return 0;
         }
-        this.refusals++;
+        this.refusalCount++;
         return Math.ceil((1 - this.tokens) / this.cfg.ratePerSecond * 1_000);
     }
 
-    /** Fetches given and refused up to now. */
+    /** Returns the numbers of allowed and refused fetches so far. */
     stats(): { readonly fetches: number; readonly refusals: number; } {
-        return { fetches: this.fetches, refusals: this.refusals };
+        return { fetches: this.fetchCount, refusals: this.refusalCount };
     }
 }
