--- a/src/emulator/_lib/emulatorPorts.ts
+++ b/src/emulator/_lib/emulatorPorts.ts
@@ -1,7 +1,7 @@
 import { Clock, Http, Random } from "../../ports/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
 
-/** Ports that an emulated upstream or platform runs on, and the key leak detector that all of them share. */
+/** Ports that an emulated upstream or platform runs on, and the key watch that all of them share. */
 export interface EmulatorPorts {
     readonly clock: Clock;
     readonly random: Random;
--- a/src/emulator/controlAction/index.ts
+++ b/src/emulator/controlAction/index.ts
@@ -58,24 +58,24 @@
  * continues in the background.
  *
  * @param emulator - Emulator to act on.
- * @param keyLeakDetector - Receives the keys of `watch-keys`.
+ * @param keyWatch - Receives the keys of `watch-keys`.
  * @param action - Action to apply.
  * @example
- * applyAction(emulator, keyLeakDetector, { action: "crash", upstream: "draft-vogar-4" });
+ * applyAction(emulator, keyWatch, { action: "crash", upstream: "draft-vogar-4" });
  */
 export function applyAction(
     emulator: StandInSet,
-    keyLeakDetector: KeyWatch,
+    keyWatch: KeyWatch,
     action: ControlAction,
 ): Either<ActionError, void> {
-    if (!("upstream" in action)) return Right(applyToEmulator(emulator, keyLeakDetector, action));
+    if (!("upstream" in action)) return Right(applyToEmulator(emulator, keyWatch, action));
     const upstream = emulator.find(action.upstream);
     if (!upstream) return Left(new ActionError("no-upstream", action.upstream));
     if (action.action === "restart") return Right(void emulator.restart(action.upstream));
     return upstream instanceof EngineStandIn ? applyToEngine(upstream, action) : applyToService(upstream, action);
 }
 
-function applyToEmulator(emulator: StandInSet, keyLeakDetector: KeyWatch, action: EmulatorAction): void {
+function applyToEmulator(emulator: StandInSet, keyWatch: KeyWatch, action: EmulatorAction): void {
     switch (action.action) {
         case "platform-faults":
             return emulator.platform.addFaults(...action.faults);
@@ -86,7 +86,7 @@
         case "set-entries":
             return emulator.setEntries(action.entries.flatMap(text => parseAddress(text) ?? []));
         case "watch-keys":
-            for (const key of action.keys) keyLeakDetector.add(key);
+            for (const key of action.keys) keyWatch.add(key);
     }
 }
 
--- a/src/emulator/controlApi/index.ts
+++ b/src/emulator/controlApi/index.ts
@@ -29,7 +29,7 @@
     constructor(
         private readonly http: Http,
         private readonly emulator: StandInSet,
-        private readonly keyLeakDetector: KeyWatch,
+        private readonly keyWatch: KeyWatch,
     ) {}
 
     /** Listens on the address; port 0 selects any free port. */
@@ -55,7 +55,7 @@
     }
 
     private applyAndAnswer(action: ControlAction, res: HttpResponse): void {
-        applyAction(this.emulator, this.keyLeakDetector, action).caseOf({
+        applyAction(this.emulator, this.keyWatch, action).caseOf({
             Left: err => sendJson(res, err.reason === "no-upstream" ? 404 : 400, { error: err.message }),
             Right: () => sendEmpty(res, 204),
         });
--- a/src/emulator/emulatedPlatform/index.ts
+++ b/src/emulator/emulatedPlatform/index.ts
@@ -67,7 +67,7 @@
     private listener: Listener | undefined;
 
     /**
-     * @param ports - Clock, HTTP and key leak detector.
+     * @param ports - Clock, HTTP and key watch.
      * @param provisioner - Starts and stops the upstreams of the orders.
      * @param cfg - Address, offers, fencing check and weight store.
      */
--- a/src/emulator/emulatedService/index.ts
+++ b/src/emulator/emulatedService/index.ts
@@ -54,7 +54,7 @@
     private callCount = 0;
 
     /**
-     * @param ports - Clock, random numbers, HTTP and key leak detector.
+     * @param ports - Clock, random numbers, HTTP and key watch.
      * @param ledger - Records runs; shared by all instances.
      * @param cfg - Identity, address, slots, latency and announcements.
      */
--- a/src/emulator/engineStandIn/index.ts
+++ b/src/emulator/engineStandIn/index.ts
@@ -59,7 +59,7 @@
     private isFrozen = false;
 
     /**
-     * @param ports - Clock, random numbers, HTTP and key leak detector.
+     * @param ports - Clock, random numbers, HTTP and key watch.
      * @param cfg - Identity, address, timing and announcements.
      * @param ledger - Records its streams; may be shared with other engines.
      */
--- a/src/emulator/keyWatch/index.ts
+++ b/src/emulator/keyWatch/index.ts
@@ -14,8 +14,8 @@
  * Detects callers' keys in the requests that reach upstreams or the platform; the router must not forward any.
  *
  * @example
- * const keyLeakDetector = new KeyWatch();
- * keyLeakDetector.add("sk-test-1");
+ * const keyWatch = new KeyWatch();
+ * keyWatch.add("sk-test-1");
  */
 export class KeyWatch {
     private readonly watchedKeys = new Set<string>();
--- a/src/emulator/standInSet/index.ts
+++ b/src/emulator/standInSet/index.ts
@@ -46,7 +46,7 @@
     private tokensBeforeRestarts = 0;
 
     /**
-     * @param ports - Clock, random numbers, HTTP and key leak detector, shared by all.
+     * @param ports - Clock, random numbers, HTTP and key watch, shared by all.
      * @param settings - Numbers, timing, zones and prices of the upstreams, and the platform's settings.
      */
     constructor(private readonly ports: EmulatorPorts, private readonly settings: EmulatorSettings) {
