--- a/src/tools/account/formatAccount/index.ts
+++ b/src/tools/account/formatAccount/index.ts
@@ -1,6 +1,6 @@
-import { CallSum } from "../sumCalls/index.js";
+import { CallStatistics } from "../sumCalls/index.js";
 
-const HEAD = [
+const COLUMN_TITLES = [
     "from s",
     "route",
     "calls",
@@ -19,33 +19,34 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Writes sums as a table of text, a line for each window and route; times in milliseconds, windows in seconds from the first one.
+ * Formats the statistics as a text table, one line per window and route. Times are in milliseconds; a window's start is in
+ * seconds after the first window's.
  *
  * @example
- * console.log(formatAccount(sumCalls(calls, 2_000)));
+ * console.log(formatCallTable(summarizeCalls(calls, 2_000)));
  */
-export function formatAccount(sums: readonly CallSum[]): string {
-    const start = sums[0]?.from ?? 0;
-    const rows = [HEAD, ...sums.map(each => formatRow(each, start))];
-    const widths = HEAD.map((_, column) => Math.max(...rows.map(row => row[column].length)));
+export function formatCallTable(statistics: readonly CallStatistics[]): string {
+    const firstWindowMs = statistics[0]?.windowStartMs ?? 0;
+    const rows = [COLUMN_TITLES, ...statistics.map(each => formatRow(each, firstWindowMs))];
+    const widths = COLUMN_TITLES.map((_, column) => Math.max(...rows.map(row => row[column].length)));
     return rows.map(row => row.map((cell, column) => cell.padStart(widths[column])).join("  ")).join("\n");
 }
 
-function formatRow(each: CallSum, start: number): string[] {
+function formatRow(each: CallStatistics, firstWindowMs: number): string[] {
     return [
-        String((each.from - start) / MS_PER_SECOND),
+        String((each.windowStartMs - firstWindowMs) / MS_PER_SECOND),
         each.route,
         String(each.calls),
-        String(each.inTime),
-        String(each.firstLate),
-        String(each.gapLate),
-        String(each.waitedP95),
-        String(each.firstP50),
-        String(each.firstP95),
-        String(each.gapP95),
-        `${Math.round(100 * each.heldShare)}%`,
+        String(each.onTime),
+        String(each.lateFirstBytes),
+        String(each.longPauses),
+        String(each.waitP95Ms),
+        String(each.firstByteP50Ms),
+        String(each.firstByteP95Ms),
+        String(each.longestPauseP95Ms),
+        `${Math.round(100 * each.cachedShare)}%`,
         String(each.upstreams),
-        String(each.mostRunning),
+        String(each.maxRunning),
         [...each.unanswered].map(([outcome, count]) => `${outcome} ${count}`).join(", ") || "-",
     ];
 }
--- a/src/tools/benchEntry/main.ts
+++ b/src/tools/benchEntry/main.ts
@@ -1,7 +1,7 @@
 /**
- * The program behind `npm run bench:entry`: what one entry process adds to the direct path to the same engines, in one run.
- * First token at low load, tokens a second and processor time under load, memory of open streams. With `--check`, ends with
- * 1 when a ratio is beyond its bound.
+ * The program behind `npm run bench:entry`: measures the overhead of one entry process against the direct path to the same
+ * engines, in one run. Covers time to first token at low load, tokens per second and CPU time under load, and memory per
+ * open stream. With `--check`, exits with 1 when a ratio exceeds its bound.
  */
 import { cac } from "cac";
 import { readFile } from "node:fs/promises";
@@ -10,26 +10,26 @@
 import { NodeHttp, parseAddress, SystemClock, SystemRandom } from "../../ports/index.js";
 import { deployTrace } from "../deployTrace/index.js";
 import { DEFAULT_PLAN, ProcessFleet } from "../fleet/index.js";
-import { sendStream, StreamTarget } from "../streamClient/index.js";
+import { sendStream, StreamTarget } from "../sendStream/index.js";
 
-/** What the figures must keep to. Ratios, since times depend on the machine and on what else runs on it. */
-const BOUNDS = {
-    /** First token over the entry, as a multiple of the direct path's, both at the median. */
+/** Maximum values of the measured ratios. Absolute times would depend on the machine and its other load. */
+const MAX_RATIOS = {
+    /** Median time to first token through the entry, as a multiple of the direct path's median. */
     firstTokenRatio: 6,
-    /** Whole streams under load over the entry, as a multiple of the direct path's time. */
+    /** Time to complete all streams under load through the entry, as a multiple of the direct path's time. */
     loadedTimeRatio: 2,
 } as const;
 
 const MODEL = "draft";
-const WARM_UP = 200;
-const SAMPLES = 600;
-const LOAD_STREAMS = 64;
-const LOAD_TOKENS = 400;
-const OPEN_STREAMS = 200;
-const OPEN_TOKENS = 4_000;
-const MS_PER_TICK = 10;
+const WARM_UP_COUNT = 200;
+const SAMPLE_COUNT = 600;
+const LOAD_STREAM_COUNT = 64;
+const TOKENS_PER_LOAD_STREAM = 400;
+const OPEN_STREAM_COUNT = 200;
+const TOKENS_PER_OPEN_STREAM = 4_000;
+const MS_PER_CPU_TICK = 10;
 
-const HEADER = {
+const TRACE_HEADER = {
     version: 1,
     name: "bench",
     zones: ["keflavik"],
@@ -46,7 +46,7 @@
     workspaces: [{ name: "bench", weight: 1 }],
 } as unknown as TraceHeader;
 
-interface Paths {
+interface MeasuredPaths {
     readonly direct: StreamTarget;
     readonly routed: StreamTarget;
 }
@@ -56,88 +56,90 @@
     return sorted[Math.min(sorted.length - 1, Math.floor(share * sorted.length))];
 }
 
-/** Processor time of a process since its start, in milliseconds. */
+/** Reads the CPU time of a process since its start, in milliseconds. */
 async function readCpuMs(pid: number): Promise<number> {
     const fields = (await readFile(`/proc/${pid}/stat`, "utf8")).split(") ")[1].split(" ");
     const USER_FIELD = 11;
     const SYSTEM_FIELD = 12;
-    return (Number(fields[USER_FIELD]) + Number(fields[SYSTEM_FIELD])) * MS_PER_TICK;
+    return (Number(fields[USER_FIELD]) + Number(fields[SYSTEM_FIELD])) * MS_PER_CPU_TICK;
 }
 
-/** Resident memory of a process, in kilobytes. */
+/** Reads the resident memory of a process, in kilobytes. */
 async function readRssKb(pid: number): Promise<number> {
     const status = await readFile(`/proc/${pid}/status`, "utf8");
     return Number(/VmRSS:\s+(\d+)/.exec(status)![1]);
 }
 
-/** The two paths in turn, so that whatever else runs on the machine weighs on both alike. */
-async function measureFirstToken(http: NodeHttp, { direct, routed }: Paths) {
+/** Measures times to first token, alternating between the paths so that other load on the machine affects both alike. */
+async function measureFirstTokenTimes(http: NodeHttp, { direct, routed }: MeasuredPaths) {
     const times = { direct: [] as number[], routed: [] as number[] };
-    for (let i = 0; i < WARM_UP + SAMPLES; i++) {
-        const onDirect = await sendStream(http, direct, `d${i}`, 2);
-        const onRouted = await sendStream(http, routed, `r${i}`, 2);
-        if (i < WARM_UP) continue;
-        times.direct.push(onDirect.firstTokenMs);
-        times.routed.push(onRouted.firstTokenMs);
+    for (let i = 0; i < WARM_UP_COUNT + SAMPLE_COUNT; i++) {
+        const directTimes = await sendStream(http, direct, `d${i}`, 2);
+        const routedTimes = await sendStream(http, routed, `r${i}`, 2);
+        if (i < WARM_UP_COUNT) continue;
+        times.direct.push(directTimes.firstTokenMs);
+        times.routed.push(routedTimes.firstTokenMs);
     }
     return times;
 }
 
-async function measureLoad(http: NodeHttp, target: StreamTarget, name: string): Promise<number> {
+async function measureLoadedTime(http: NodeHttp, target: StreamTarget, name: string): Promise<number> {
     const startedAt = performance.now();
     const streams = Array.from(
-        { length: LOAD_STREAMS },
-        (_, i) => sendStream(http, target, `${name}${i}`, LOAD_TOKENS),
+        { length: LOAD_STREAM_COUNT },
+        (_, i) => sendStream(http, target, `${name}${i}`, TOKENS_PER_LOAD_STREAM),
     );
     await Promise.all(streams);
     return performance.now() - startedAt;
 }
 
-/** Memory that each open stream adds to the entry. */
-async function measureOpenStreams(http: NodeHttp, target: StreamTarget, pid: number): Promise<number> {
-    const before = await readRssKb(pid);
-    const whole: Promise<unknown>[] = [];
-    const open = Array.from({ length: OPEN_STREAMS }, (_, i) =>
+/** Measures the resident memory that each open stream adds to the entry process, in kilobytes. */
+async function measureKbPerOpenStream(http: NodeHttp, target: StreamTarget, pid: number): Promise<number> {
+    const rssBeforeKb = await readRssKb(pid);
+    const completions: Promise<unknown>[] = [];
+    const firstTokens = Array.from({ length: OPEN_STREAM_COUNT }, (_, i) =>
         new Promise<void>(resolve => {
-            whole.push(sendStream(http, target, `open${i}`, OPEN_TOKENS, resolve));
+            completions.push(sendStream(http, target, `open${i}`, TOKENS_PER_OPEN_STREAM, resolve));
         }));
-    await Promise.all(open);
-    const during = await readRssKb(pid);
-    await Promise.all(whole);
-    return (during - before) / OPEN_STREAMS;
+    await Promise.all(firstTokens);
+    const rssDuringKb = await readRssKb(pid);
+    await Promise.all(completions);
+    return (rssDuringKb - rssBeforeKb) / OPEN_STREAM_COUNT;
 }
 
-async function measure(fleet: ProcessFleet): Promise<Record<string, number>> {
+async function runBenchmark(fleet: ProcessFleet): Promise<Record<string, number>> {
     const http = new NodeHttp();
     const random = new SystemRandom();
     const api = new OperatorApi({ http, clock: new SystemClock(), control: fleet.operatorAddresses });
-    const keys = await deployTrace(api, random, HEADER);
+    const keys = await deployTrace(api, random, TRACE_HEADER);
     const engine = parseAddress(fleet.upstreamAddresses[0])!;
-    const paths: Paths = {
+    const paths: MeasuredPaths = {
         direct: { address: engine, key: undefined, model: MODEL },
         routed: { address: fleet.callerAddresses[0], key: keys.get("bench"), model: MODEL },
     };
     const pid = fleet.entries[0].pid;
-    const first = await measureFirstToken(http, paths);
-    const directMs = await measureLoad(http, paths.direct, "warm-d").then(() => measureLoad(http, paths.direct, "ld"));
-    await measureLoad(http, paths.routed, "warm-r");
-    const cpuBefore = await readCpuMs(pid);
-    const routedMs = await measureLoad(http, paths.routed, "lr");
-    const cpuMs = await readCpuMs(pid) - cpuBefore;
-    const tokens = LOAD_STREAMS * LOAD_TOKENS;
-    const streamKb = await measureOpenStreams(http, paths.routed, pid);
-    const cpuPerThousandTokens = cpuMs / (tokens / 1_000);
+    const firstTokenTimes = await measureFirstTokenTimes(http, paths);
+    const directMs = await measureLoadedTime(http, paths.direct, "warm-d").then(() =>
+        measureLoadedTime(http, paths.direct, "ld")
+    );
+    await measureLoadedTime(http, paths.routed, "warm-r");
+    const cpuBeforeMs = await readCpuMs(pid);
+    const routedMs = await measureLoadedTime(http, paths.routed, "lr");
+    const cpuMs = await readCpuMs(pid) - cpuBeforeMs;
+    const tokens = LOAD_STREAM_COUNT * TOKENS_PER_LOAD_STREAM;
+    const streamKb = await measureKbPerOpenStream(http, paths.routed, pid);
+    const cpuMsPerThousandTokens = cpuMs / (tokens / 1_000);
     return {
-        directFirstTokenP50Ms: percentile(first.direct, 0.5),
-        routedFirstTokenP50Ms: percentile(first.routed, 0.5),
-        addedP50Ms: percentile(first.routed, 0.5) - percentile(first.direct, 0.5),
-        addedP99Ms: percentile(first.routed, 0.99) - percentile(first.direct, 0.99),
+        directFirstTokenP50Ms: percentile(firstTokenTimes.direct, 0.5),
+        routedFirstTokenP50Ms: percentile(firstTokenTimes.routed, 0.5),
+        addedP50Ms: percentile(firstTokenTimes.routed, 0.5) - percentile(firstTokenTimes.direct, 0.5),
+        addedP99Ms: percentile(firstTokenTimes.routed, 0.99) - percentile(firstTokenTimes.direct, 0.99),
         directTokensPerSecond: tokens / directMs * 1_000,
         routedTokensPerSecond: tokens / routedMs * 1_000,
-        cpuMsPerThousandTokens: cpuPerThousandTokens,
-        coreShareAtTarget: cpuPerThousandTokens * 5 / 1_000,
+        cpuMsPerThousandTokens: cpuMsPerThousandTokens,
+        coreShareAtTarget: cpuMsPerThousandTokens * 5 / 1_000,
         kilobytesPerOpenStream: streamKb,
-        firstTokenRatio: percentile(first.routed, 0.5) / percentile(first.direct, 0.5),
+        firstTokenRatio: percentile(firstTokenTimes.routed, 0.5) / percentile(firstTokenTimes.direct, 0.5),
         loadedTimeRatio: routedMs / directMs,
     };
 }
@@ -159,13 +161,13 @@
         ],
     });
     try {
-        const figures = await measure(fleet);
+        const figures = await runBenchmark(fleet);
         for (const [name, value] of Object.entries(figures)) console.log(`${name.padEnd(26)}${value.toFixed(3)}`);
-        const missed = Object.entries(BOUNDS).filter(([name, bound]) => figures[name] > bound);
-        for (const [name, bound] of missed) {
+        const exceeded = Object.entries(MAX_RATIOS).filter(([name, bound]) => figures[name] > bound);
+        for (const [name, bound] of exceeded) {
             console.log(`BEYOND ITS BOUND: ${name} ${figures[name].toFixed(2)} > ${bound}`);
         }
-        return options.check && missed.length > 0 ? 1 : 0;
+        return options.check && exceeded.length > 0 ? 1 : 0;
     }
     finally {
         await fleet.close();
--- a/src/tools/cutRelay/index.ts
+++ b/src/tools/cutRelay/index.ts
@@ -1,27 +1,29 @@
 import { createServer, Server, Socket } from "node:net";
 
 /**
- * A TCP relay on loopback that can go silent: for failure tests with real processes.
+ * A TCP relay on loopback that simulates network partitions in failure tests with real processes.
  *
  * @example
  * const relay = await CutRelay.start(7001);
  * relay.cut();
  */
-export class CutRelay {
-    private readonly pairs = new Set<readonly [Socket, Socket]>();
-    private isCut = false;
+export class PartitionRelay {
+    private readonly socketPairs = new Set<readonly [Socket, Socket]>();
+    private isPartitioned = false;
 
-    private constructor(private readonly server: Server, private target: number) {
-        server.on("connection", socket => this.join(socket));
+    private constructor(private readonly server: Server, private targetPort: number) {
+        server.on("connection", socket => this.relayConnection(socket));
     }
 
     /**
-     * @param target - The port on loopback to relay to.
-     * @param port - The port to listen on; 0 means any free one.
+     * Starts a relay on loopback.
+     *
+     * @param targetPort - Port on loopback that connections are relayed to.
+     * @param port - Port to listen on; 0 selects any free one.
      */
-    static start(target: number, port = 0): Promise<CutRelay> {
+    static start(targetPort: number, port = 0): Promise<PartitionRelay> {
         const server = createServer();
-        const relay = new CutRelay(server, target);
+        const relay = new PartitionRelay(server, targetPort);
         return new Promise((resolve, reject) => {
             server.once("error", reject);
             server.listen(port, "127.0.0.1", () => resolve(relay));
@@ -32,58 +34,58 @@
         return (this.server.address() as { port: number; }).port;
     }
 
-    /** Holds everything back, both ways, on open and new connections alike, as a cut link does. */
-    cut(): void {
-        this.isCut = true;
-        for (const [a, b] of this.pairs) {
+    /** Holds back all data in both directions, on open and new connections, as a partitioned network does. */
+    partition(): void {
+        this.isPartitioned = true;
+        for (const [a, b] of this.socketPairs) {
             a.pause();
             b.pause();
         }
     }
 
-    /** Lets what was held back through. */
+    /** Ends the partition: data that was held back is delivered. */
     heal(): void {
-        this.isCut = false;
-        for (const [a, b] of this.pairs) {
+        this.isPartitioned = false;
+        for (const [a, b] of this.socketPairs) {
             a.resume();
             b.resume();
         }
     }
 
-    /** Makes the open connections silent for good; new ones work. */
-    forget(): void {
-        for (const [a, b] of this.pairs) {
+    /** Permanently discards the data of the open connections without closing them; new connections work. */
+    discardOpenConnections(): void {
+        for (const [a, b] of this.socketPairs) {
             a.unpipe(b).resume();
             b.unpipe(a).resume();
         }
-        this.pairs.clear();
+        this.socketPairs.clear();
     }
 
     async close(): Promise<void> {
-        for (const [a, b] of this.pairs) {
+        for (const [a, b] of this.socketPairs) {
             a.destroy();
             b.destroy();
         }
         await new Promise(done => this.server.close(done));
     }
 
-    private join(near: Socket): void {
-        const far = new Socket();
-        const pair = [near, far] as const;
-        this.pairs.add(pair);
-        const end = (): void => {
-            this.pairs.delete(pair);
-            near.destroy();
-            far.destroy();
+    private relayConnection(inbound: Socket): void {
+        const outbound = new Socket();
+        const pair = [inbound, outbound] as const;
+        this.socketPairs.add(pair);
+        const closePair = (): void => {
+            this.socketPairs.delete(pair);
+            inbound.destroy();
+            outbound.destroy();
         };
         for (const socket of pair) {
             socket.setNoDelay(true);
-            socket.on("error", end);
-            socket.on("close", end);
+            socket.on("error", closePair);
+            socket.on("close", closePair);
         }
-        far.connect(this.target, "127.0.0.1");
-        near.pipe(far);
-        far.pipe(near);
-        if (this.isCut) this.cut();
+        outbound.connect(this.targetPort, "127.0.0.1");
+        inbound.pipe(outbound);
+        outbound.pipe(inbound);
+        if (this.isPartitioned) this.partition();
     }
 }
--- a/src/tools/demo/main.ts
+++ b/src/tools/demo/main.ts
@@ -1,6 +1,6 @@
 /**
- * The program behind `npm run demo`: starts a whole fleet as processes on loopback, replays a trace against it, and closes
- * with a table for each class and workspace and one line of JSON. Ends with 1 when a request was lost or doubled.
+ * The program behind `npm run demo`: starts a complete fleet as processes on loopback, replays a trace against it, and prints
+ * tables of the results by class and by workspace and one line of JSON. Exits with 1 when a request was lost or doubled.
  */
 import { cac } from "cac";
 import { readFile } from "node:fs/promises";
@@ -21,7 +21,7 @@
 import { DEFAULT_PLAN, ProcessFleet } from "../fleet/index.js";
 import { waitFor } from "../processes/index.js";
 
-const WINDOW_LIMIT_MS = 20_000;
+const USAGE_REPORT_TIMEOUT_MS = 20_000;
 
 interface Flags {
     readonly trace: string;
@@ -49,7 +49,7 @@
     });
 }
 
-function emulatorFlags(trace: Trace): string[] {
+function formatEmulatorFlags(trace: Trace): string[] {
     return Object.entries(trace.header.emulator)
         .filter(([name]) => name !== "zones")
         .flatMap((
@@ -66,17 +66,17 @@
         ...DEFAULT_PLAN,
         entries: flags.entries,
         zones: trace.header.zones,
-        emulator: emulatorFlags(trace),
+        emulator: formatEmulatorFlags(trace),
     });
     try {
-        return await replayOn(fleet, trace, flags.speed);
+        return await replayOnFleet(fleet, trace, flags.speed);
     }
     finally {
         await fleet.close();
     }
 }
 
-async function replayOn(fleet: ProcessFleet, trace: Trace, speed: number): Promise<number> {
+async function replayOnFleet(fleet: ProcessFleet, trace: Trace, speed: number): Promise<number> {
     const ports = { clock: new SystemClock(), random: new SystemRandom(), http: new NodeHttp() };
     const api = new OperatorApi({ ...ports, control: fleet.operatorAddresses });
     const keys = await deployTrace(api, ports.random, trace.header);
@@ -93,7 +93,7 @@
     progress.end();
     const report = summarizeReplay(trace, results, ports.clock.monotonic() - startedAt);
     const check = crossCheck(trace, results, await emulator.fetchRuns());
-    const usage = await awaitReports(fleet, results.filter(({ verdict }) => verdict === "answered").length);
+    const usage = await waitForUsageReports(fleet, results.filter(({ verdict }) => verdict === "answered").length);
     console.log(formatReport(report, check));
     const { sent, answered, refused, lost, doubled } = report;
     const doubledCalls = doubled + check.doubledCalls.length;
@@ -119,17 +119,17 @@
     readonly conflicting: number;
 }
 
-/** Waits until each answered request has been reported, or for two windows at the most. */
-async function awaitReports(fleet: ProcessFleet, answered: number): Promise<UsageCounts> {
-    const read = async (): Promise<UsageCounts> => {
+/** Waits until the usage of each answered request has been reported to the platform, at most for the limit. */
+async function waitForUsageReports(fleet: ProcessFleet, answered: number): Promise<UsageCounts> {
+    const fetchUsage = async (): Promise<UsageCounts> => {
         const stats = await fleet.emulatorStats() as { platform: { usage: UsageCounts; }; };
         return stats.platform.usage;
     };
-    const whole = await waitFor(async () => {
-        const usage = await read();
+    const completeUsage = await waitFor(async () => {
+        const usage = await fetchUsage();
         return usage.requests >= answered ? usage : undefined;
-    }, WINDOW_LIMIT_MS);
-    return whole ?? await read();
+    }, USAGE_REPORT_TIMEOUT_MS);
+    return completeUsage ?? await fetchUsage();
 }
 
 main().then(
--- a/src/tools/fleet/index.ts
+++ b/src/tools/fleet/index.ts
@@ -8,22 +8,26 @@
 import { findFreePorts } from "../freePorts/index.js";
 import { Program, waitFor } from "../processes/index.js";
 
-/** A fleet of real processes on loopback. */
+/** Options of a fleet of processes on loopback. */
 export interface FleetPlan {
+    /** Number of entry processes. */
     readonly entries: number;
+    /** Number of control processes. */
     readonly controls: number;
     readonly zones: readonly string[];
     readonly region: string;
-    /** Flags of the emulator beside those that join it to the fleet. */
+    /** Additional command-line flags of the emulator; those that connect it to the fleet are set automatically. */
     readonly emulator: readonly string[];
+    /** Length of a usage window, in milliseconds. */
     readonly windowMs: number;
+    /** Grace period after a usage window ends, in milliseconds. */
     readonly windowGraceMs: number;
-    /** Whether the platform refuses orders and reports with an old fencing token. */
+    /** Whether the platform refuses orders and reports with an outdated fencing token. */
     readonly platformChecksFence: boolean;
     readonly logLevel: string;
 }
 
-/** The plan used where a caller gives no other. */
+/** Default options of a fleet. */
 export const DEFAULT_PLAN: FleetPlan = {
     entries: 2,
     controls: 3,
@@ -49,11 +53,11 @@
 }
 
 const HOST = "127.0.0.1";
-const READY_LIMIT_MS = 30_000;
-const ANSWER_LIMIT_MS = 1_000;
+const READY_TIMEOUT_MS = 30_000;
+const QUERY_TIMEOUT_MS = 1_000;
 
 /**
- * Entries, control processes and the emulator as processes of their own. Everything it starts ends with `close`.
+ * Runs entries, control processes and the emulator as separate processes. `close` ends every process it started.
  *
  * @example
  * const fleet = await ProcessFleet.start({ ...DEFAULT_PLAN, entries: 7 });
@@ -63,7 +67,7 @@
     readonly entries: Program[] = [];
     readonly controls: Program[] = [];
     emulator!: Program;
-    private emulatorAddresses!: { platform: string; control: string; upstreams: string[]; };
+    private emulatorListeners!: { platform: string; control: string; upstreams: string[]; };
 
     private constructor(
         readonly plan: FleetPlan,
@@ -72,7 +76,7 @@
         readonly controlPorts: readonly ControlPorts[],
     ) {}
 
-    /** Starts all processes and waits until each entry serves callers. */
+    /** Starts all processes and waits until each entry is ready and has discovered all upstreams. */
     static async start(plan: FleetPlan): Promise<ProcessFleet> {
         const folder = await mkdtemp(join(tmpdir(), "sequoiamux-"));
         const ports = await findFreePorts(plan.entries * 4 + plan.controls * 2);
@@ -95,76 +99,76 @@
         return fleet;
     }
 
-    /** Where callers send requests. */
+    /** Addresses of the entries for callers' requests. */
     get callerAddresses(): Address[] {
         return this.entryPorts.map(({ callers }) => ({ host: HOST, port: callers }));
     }
 
-    /** Where operators reach the control processes. */
+    /** Addresses of the control processes' operators' API. */
     get operatorAddresses(): Address[] {
         return this.controlPorts.map(({ operators }) => ({ host: HOST, port: operators }));
     }
 
-    /** `IP:port` of each stand-in, engines first. */
+    /** `IP:port` of each emulated upstream, engines first. */
     get upstreamAddresses(): readonly string[] {
-        return this.emulatorAddresses.upstreams;
+        return this.emulatorListeners.upstreams;
     }
 
-    /** `IP:port` where the emulator is asked and steered. */
+    /** `IP:port` of the emulator's control API. */
     get emulatorControl(): string {
-        return this.emulatorAddresses.control;
+        return this.emulatorListeners.control;
     }
 
     startEntry(number: number): Program {
-        const program = new Program("daemon/main.js", ["--settings", this.entryFile(number)]);
+        const program = new Program("daemon/main.js", ["--settings", this.entrySettingsPath(number)]);
         this.entries[number] = program;
         return program;
     }
 
     startControl(number: number): Program {
-        const program = new Program("daemon/main.js", ["--settings", this.controlFile(number)]);
+        const program = new Program("daemon/main.js", ["--settings", this.controlSettingsPath(number)]);
         this.controls[number] = program;
         return program;
     }
 
-    /** Throws away a control process's data folder, as a replaced disk does. */
+    /** Deletes a control process's data folder, as if its disk had been replaced. */
     async wipeControl(number: number): Promise<void> {
-        await rm(this.dataFolder(number), { recursive: true, force: true });
+        await rm(this.dataFolderPath(number), { recursive: true, force: true });
     }
 
-    /** The number of the control process that holds the lease, undefined when none answers as the holder. */
+    /** Returns the number of the control process that holds the lease; undefined when none answers as the holder. */
     async findHolder(): Promise<number | undefined> {
         const answers = await Promise.all(
-            this.operatorAddresses.map(address => isOk(`${formatTrpcUrl(address)}/revision`)),
+            this.operatorAddresses.map(address => respondsOk(`${formatTrpcUrl(address)}/revision`)),
         );
         const holder = answers.indexOf(true);
         return holder < 0 ? undefined : holder;
     }
 
-    /** Whether a control process says that it is ready: it knows who holds the lease. */
+    /** Whether a control process reports that it is ready, which includes that it knows the holder of the lease. */
     isControlReady(number: number): Promise<boolean> {
-        return isOk(`http://${HOST}:${this.controlPorts[number].operators}${CALLER_PATHS.ready}`);
+        return respondsOk(`http://${HOST}:${this.controlPorts[number].operators}${CALLER_PATHS.ready}`);
     }
 
-    /** What the stand-ins have counted. */
+    /** Fetches the counters of the emulated upstreams and the emulated platform. */
     emulatorStats(): Promise<unknown> {
-        return this.askEmulator(CONTROL_PATHS.stats);
+        return this.queryEmulator(CONTROL_PATHS.stats);
     }
 
-    /** The emulator's control port. */
+    /** Address of the emulator's control API. */
     get emulatorAddress(): Address {
-        return parseAddress(this.emulatorAddresses.control)!;
+        return parseAddress(this.emulatorListeners.control)!;
     }
 
-    /** Ends all processes, by their own ids, and removes their files. */
+    /** Kills all processes of the fleet, each by its own process id, and removes their files. */
     async close(): Promise<void> {
         const programs = [...this.entries, ...this.controls, this.emulator].filter(program => program?.isRunning);
         await Promise.all(programs.map(program => program.kill()));
         await rm(this.folder, { recursive: true, force: true });
     }
 
-    private async askEmulator(path: string): Promise<unknown> {
-        const response = await fetch(`http://${this.emulatorAddresses.control}${path}`);
+    private async queryEmulator(path: string): Promise<unknown> {
+        const response = await fetch(`http://${this.emulatorListeners.control}${path}`);
         return response.json();
     }
 
@@ -173,20 +177,20 @@
         await this.writeSettings();
         for (const number of range(this.plan.controls)) this.startControl(number);
         for (const number of range(this.plan.entries)) this.startEntry(number);
-        await Promise.all(this.entries.map(entry => entry.line("\"ready\"", READY_LIMIT_MS)));
-        await this.awaitUpstreams();
+        await Promise.all(this.entries.map(entry => entry.line("\"ready\"", READY_TIMEOUT_MS)));
+        await this.waitForUpstreams();
     }
 
-    /** The entries must have heard of the upstreams before the first request. */
-    private async awaitUpstreams(): Promise<void> {
+    /** Waits until each entry has discovered all upstreams, which it needs before the first request. */
+    private async waitForUpstreams(): Promise<void> {
         const expected = this.upstreamAddresses.length;
         for (const { admin } of this.entryPorts) {
-            const heard = await waitFor(
+            const areDiscovered = await waitFor(
                 async () =>
                     await countRows(`${formatTrpcUrl({ host: HOST, port: admin })}/upstreams`) >= expected || undefined,
-                READY_LIMIT_MS,
+                READY_TIMEOUT_MS,
             );
-            if (!heard) {
+            if (!areDiscovered) {
                 throw new Error(`the entry with the admin port ${admin} has not heard of ${expected} upstreams`);
             }
         }
@@ -204,23 +208,23 @@
             String(this.plan.platformChecksFence),
             ...this.plan.emulator,
         ]);
-        this.emulatorAddresses = JSON.parse(await this.emulator.line("\"ready\""));
+        this.emulatorListeners = JSON.parse(await this.emulator.line("\"ready\""));
     }
 
     private async writeSettings(): Promise<void> {
         for (const number of range(this.plan.controls)) {
-            await mkdir(this.dataFolder(number), { recursive: true });
-            await writeFile(this.controlFile(number), this.formatControl(number));
+            await mkdir(this.dataFolderPath(number), { recursive: true });
+            await writeFile(this.controlSettingsPath(number), this.formatControlSettings(number));
         }
         for (const number of range(this.plan.entries)) {
-            await writeFile(this.entryFile(number), this.formatEntry(number));
+            await writeFile(this.entrySettingsPath(number), this.formatEntrySettings(number));
         }
     }
 
-    private formatEntry(number: number): string {
+    private formatEntrySettings(number: number): string {
         const { callers, upstreams, peers, admin } = this.entryPorts[number];
         return formatIni("entry", {
-            host: this.hostSection(`entry-${number + 1}`, number),
+            host: this.makeHostSection(`entry-${number + 1}`, number),
             listen: {
                 callers: `${HOST}:${callers}`,
                 upstreams: `${HOST}:${upstreams}`,
@@ -234,15 +238,15 @@
         });
     }
 
-    private formatControl(number: number): string {
+    private formatControlSettings(number: number): string {
         const { peers, operators } = this.controlPorts[number];
         return formatIni("control", {
-            host: this.hostSection(`control-${number + 1}`, number),
+            host: this.makeHostSection(`control-${number + 1}`, number),
             listen: { peers: `${HOST}:${peers}`, operators: `${HOST}:${operators}` },
             control: { members: this.formatMembers() },
-            data: { folder: this.dataFolder(number) },
+            data: { folder: this.dataFolderPath(number) },
             platform: {
-                address: this.emulatorAddresses.platform,
+                address: this.emulatorListeners.platform,
                 checks_fence: this.plan.platformChecksFence ? "yes" : "no",
             },
             usage: { window_ms: String(this.plan.windowMs), grace_ms: String(this.plan.windowGraceMs) },
@@ -250,7 +254,7 @@
         });
     }
 
-    private hostSection(id: string, number: number): Record<string, string> {
+    private makeHostSection(id: string, number: number): Record<string, string> {
         return { id, zone: this.plan.zones[number % this.plan.zones.length], region: this.plan.region };
     }
 
@@ -258,33 +262,33 @@
         return this.controlPorts.map(({ peers }, number) => `control-${number + 1}@${HOST}:${peers}`).join(", ");
     }
 
-    private entryFile(number: number): string {
+    private entrySettingsPath(number: number): string {
         return join(this.folder, `entry-${number + 1}.ini`);
     }
 
-    private controlFile(number: number): string {
+    private controlSettingsPath(number: number): string {
         return join(this.folder, `control-${number + 1}.ini`);
     }
 
-    private dataFolder(number: number): string {
+    private dataFolderPath(number: number): string {
         return join(this.folder, `data-${number + 1}`);
     }
 }
 
-/** A process that is frozen takes connections and answers nothing. */
-async function isOk(url: string): Promise<boolean> {
+/** Whether a URL answers with success in time. The limit is needed for a frozen process: it accepts connections, but never answers. */
+async function respondsOk(url: string): Promise<boolean> {
     try {
-        return (await fetch(url, { signal: AbortSignal.timeout(ANSWER_LIMIT_MS) })).ok;
+        return (await fetch(url, { signal: AbortSignal.timeout(QUERY_TIMEOUT_MS) })).ok;
     }
     catch {
         return false;
     }
 }
 
-/** How many rows an operators' query gives; 0 when it gives no answer. */
+/** Returns the number of rows that an operators' query returns; 0 when it fails or does not answer in time. */
 async function countRows(url: string): Promise<number> {
     try {
-        const response = await fetch(url, { signal: AbortSignal.timeout(ANSWER_LIMIT_MS) });
+        const response = await fetch(url, { signal: AbortSignal.timeout(QUERY_TIMEOUT_MS) });
         const answer = await response.json() as { result: { data: unknown[]; }; };
         return answer.result.data.length;
     }
--- a/src/tools/freePorts/index.ts
+++ b/src/tools/freePorts/index.ts
@@ -1,24 +1,24 @@
 import { createServer } from "node:net";
 
-/** Below the range from which the system takes the ports of outgoing connections: those could take a port again. */
-const LOWEST_PORT = 12_000;
-const HIGHEST_PORT = 32_000;
-const MOST_TRIES = 2_000;
+/** Ports stay below the system's ephemeral range, where an outgoing connection could take a port before it is used. */
+const MIN_PORT = 12_000;
+const MAX_PORT = 32_000;
+const MAX_TRIES = 2_000;
 
 /**
- * Finds ports that nothing listens on.
+ * Finds ports on loopback that nothing listens on.
  *
- * @param count - How many.
- * @throws Error when there are too few.
+ * @param count - Number of ports to find.
+ * @throws Error when too few are found.
  */
 export async function findFreePorts(count: number): Promise<number[]> {
-    const found = new Set<number>();
-    for (let tries = 0; found.size < count; tries++) {
-        if (tries > MOST_TRIES) throw new Error(`no ${count} free ports`);
-        const port = LOWEST_PORT + Math.floor(Math.random() * (HIGHEST_PORT - LOWEST_PORT));
-        if (!found.has(port) && await isFree(port)) found.add(port);
+    const ports = new Set<number>();
+    for (let tries = 0; ports.size < count; tries++) {
+        if (tries > MAX_TRIES) throw new Error(`no ${count} free ports`);
+        const port = MIN_PORT + Math.floor(Math.random() * (MAX_PORT - MIN_PORT));
+        if (!ports.has(port) && await isFree(port)) ports.add(port);
     }
-    return [...found];
+    return [...ports];
 }
 
 function isFree(port: number): Promise<boolean> {
--- a/src/tools/index.ts
+++ b/src/tools/index.ts
@@ -1,4 +1,4 @@
-/** The launchers, for tests that need processes of their own. */
+/** Launchers of local processes, and helpers for tests that start separate processes. */
 export * from "./deployTrace/index.js";
 export * from "./fleet/index.js";
 export * from "./freePorts/index.js";
--- a/src/tools/processes/index.ts
+++ b/src/tools/processes/index.ts
@@ -4,20 +4,20 @@
 
 const DIST = join(dirname(fileURLToPath(import.meta.url)), "..", "..");
 
-/** Programs that run. They end with the launcher, however it ends: a launcher that crashed would leave a fleet behind. */
+/** Running child processes. They are killed when the launcher exits: a crashed launcher would leave its fleet running. */
 const running = new Set<ChildProcess>();
 process.once("exit", () => {
     for (const child of running) child.kill("SIGKILL");
 });
 
-/** How a program ended. */
+/** Exit status of a program. */
 export interface ProgramExit {
     readonly code: number | undefined;
     readonly signal: string | undefined;
 }
 
 /**
- * One of the project's programs, running as a process of its own.
+ * One of the project's programs, running as a child process.
  *
  * @example
  * const daemon = new Program("daemon/main.js", ["--settings", "entry.ini"]);
@@ -25,26 +25,26 @@
 export class Program {
     readonly exited: Promise<ProgramExit>;
     private readonly child: ChildProcess;
-    private output = "";
-    private errors = "";
-    private running = true;
-    private closed = false;
+    private stdoutText = "";
+    private stderrText = "";
+    private runningChildren = true;
+    private areStreamsClosed = false;
 
     /**
-     * @param script - Its path below the build's folder.
-     * @param args - Its arguments.
+     * @param script - Path of the program's script, relative to the build folder.
+     * @param args - Command-line arguments.
      */
     constructor(script: string, args: readonly string[]) {
         this.child = spawn(process.execPath, [join(DIST, script), ...args], { stdio: ["ignore", "pipe", "pipe"] });
         running.add(this.child);
         this.child.once("exit", () => running.delete(this.child));
-        this.child.stdout!.on("data", chunk => this.output += chunk);
-        this.child.stderr!.on("data", chunk => this.errors += chunk);
+        this.child.stdout!.on("data", chunk => this.stdoutText += chunk);
+        this.child.stderr!.on("data", chunk => this.stderrText += chunk);
         this.exited = new Promise(resolve => {
-            this.child.once("exit", () => this.running = false);
-            // Only "close" says that its last lines have been read: after "exit" they may still be in the pipes.
+            this.child.once("exit", () => this.runningChildren = false);
+            // Its last lines may still be in the pipes at "exit"; only "close" guarantees that they have been read.
             this.child.once("close", (code, signal) => {
-                this.closed = true;
+                this.areStreamsClosed = true;
                 resolve({ code: code ?? undefined, signal: signal ?? undefined });
             });
         });
@@ -55,71 +55,76 @@
     }
 
     get isRunning(): boolean {
-        return this.running;
+        return this.runningChildren;
     }
 
-    /** What it wrote to standard output so far. */
+    /** Text written to standard output so far. */
     get stdout(): string {
-        return this.output;
+        return this.stdoutText;
     }
 
-    /** What it wrote to standard error so far: its log. */
+    /** Text written to standard error so far, which is the program's log. */
     get stderr(): string {
-        return this.errors;
+        return this.stderrText;
     }
 
-    /** Sends it a signal, such as SIGTERM, SIGKILL, SIGSTOP or SIGCONT. */
+    /** Sends a signal, such as SIGTERM, SIGKILL, SIGSTOP or SIGCONT, if the program is still running. */
     signal(name: NodeJS.Signals): void {
-        if (this.running) this.child.kill(name);
+        if (this.runningChildren) this.child.kill(name);
     }
 
-    /** Ends it at once and waits for that. */
+    /** Kills the program and waits for its exit. */
     async kill(): Promise<void> {
         this.signal("SIGKILL");
         await this.exited;
     }
 
-    /** Ends it in good order and waits for that; kills it when it takes longer than the limit. */
+    /** Stops the program with SIGTERM and waits for its exit; kills it after the limit. */
     async stop(limitMs = 10_000): Promise<ProgramExit> {
         this.signal("SIGTERM");
-        const limit = setTimeout(() => this.signal("SIGKILL"), limitMs);
+        const killTimer = setTimeout(() => this.signal("SIGKILL"), limitMs);
         const exit = await this.exited;
-        clearTimeout(limit);
+        clearTimeout(killTimer);
         return exit;
     }
 
-    /** Settles with the first line of standard output that holds the text. */
+    /**
+     * Waits for a line of standard output that contains the text.
+     *
+     * @returns The first such line.
+     * @throws Error when the program ends or the limit passes first.
+     */
     async line(text: string, limitMs = 15_000): Promise<string> {
         const found = await waitFor(
-            () => this.output.split("\n").find(line => line.includes(text)),
+            () => this.stdoutText.split("\n").find(line => line.includes(text)),
             limitMs,
-            () => this.closed,
+            () => this.areStreamsClosed,
         );
-        if (found === undefined) throw new Error(`no line with ${text}; its log:\n${this.errors.slice(-2_000)}`);
+        if (found === undefined) throw new Error(`no line with ${text}; its log:\n${this.stderrText.slice(-2_000)}`);
         return found;
     }
 }
 
-const POLL_MS = 20;
+const POLL_INTERVAL_MS = 20;
 
 /**
- * Looks again and again until there is a value.
+ * Polls until a value is available.
  *
- * @param look - Gives the value, or undefined for not yet.
- * @param limitMs - The longest to look, in milliseconds.
- * @param hopeless - True when looking longer is no use.
- * @returns The value, or undefined when the limit has passed.
+ * @param poll - Returns the value, or undefined while there is none yet.
+ * @param limitMs - Maximum time to poll, in milliseconds.
+ * @param isPointless - Returns true when no value can come any more, which ends the polling.
+ * @returns The value, or undefined when the limit has passed or polling became pointless.
  */
 export async function waitFor<Value>(
-    look: () => Value | undefined | Promise<Value | undefined>,
+    poll: () => Value | undefined | Promise<Value | undefined>,
     limitMs: number,
-    hopeless: () => boolean = () => false,
+    isPointless: () => boolean = () => false,
 ): Promise<Value | undefined> {
-    const end = performance.now() + limitMs;
+    const deadline = performance.now() + limitMs;
     for (;;) {
-        const value = await look();
+        const value = await poll();
         if (value !== undefined) return value;
-        if (performance.now() > end || hopeless()) return undefined;
-        await new Promise(resolve => setTimeout(resolve, POLL_MS));
+        if (performance.now() > deadline || isPointless()) return undefined;
+        await new Promise(resolve => setTimeout(resolve, POLL_INTERVAL_MS));
     }
 }
--- a/src/tools/scratchFolder/index.ts
+++ b/src/tools/scratchFolder/index.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from "node:os";
 import { dirname, join } from "node:path";
 
-/** A folder for the files of one test. */
+/** A temporary folder for the files of one test. */
 export class ScratchFolder {
     private constructor(readonly path: string) {}
 
@@ -10,7 +10,7 @@
         return new ScratchFolder(await mkdtemp(join(tmpdir(), "sequoiamux-")));
     }
 
-    /** Writes a file, and gives its path. */
+    /** Writes a file, creating its parent folders, and returns its path. */
     async write(name: string, text: string): Promise<string> {
         const path = join(this.path, name);
         await mkdir(dirname(path), { recursive: true });
@@ -18,7 +18,7 @@
         return path;
     }
 
-    /** Cuts a file to half its size. */
+    /** Truncates a file to half its size. */
     async halve(name: string): Promise<void> {
         const path = join(this.path, name);
         const bytes = await readFile(path);
--- a/src/tools/soak/main.ts
+++ b/src/tools/soak/main.ts
@@ -1,5 +1,5 @@
 /**
- * Runs random fault schedules by seed, over the control log or over routed calls:
+ * Runs random fault schedules, one per seed, against the control log or against routed calls:
  * `node dist/tools/soak/main.js --schedule calls --seeds 500 --from 1`.
  */
 import { cac } from "cac";
@@ -11,8 +11,8 @@
     readonly from: number;
 }
 
-/** Runs one seed of a schedule and gives what it came to. */
-const SCHEDULES: Readonly<Record<string, (seed: number) => Promise<string>>> = {
+/** Functions by schedule name that run one seed and return a one-line result. */
+const SCHEDULE_RUNNERS: Readonly<Record<string, (seed: number) => Promise<string>>> = {
     log: async seed => {
         const { accepted, virtualMs } = await runSchedule(seed);
         return `${accepted} accepted in ${toSeconds(virtualMs)} s of virtual time`;
@@ -28,26 +28,26 @@
 }
 
 async function runSeeds({ schedule, seeds, from }: SoakOptions): Promise<number[]> {
-    const failed: number[] = [];
+    const failedSeeds: number[] = [];
     for (let seed = from; seed < from + seeds; seed++) {
         try {
-            console.log(`seed ${seed}: ${await SCHEDULES[schedule](seed)}`);
+            console.log(`seed ${seed}: ${await SCHEDULE_RUNNERS[schedule](seed)}`);
         }
         catch (err) {
-            failed.push(seed);
+            failedSeeds.push(seed);
             console.log(`seed ${seed}: FAILED ${String((err as Error).stack)}`);
         }
     }
-    return failed;
+    return failedSeeds;
 }
 
 const program = cac("soak");
-program.option("--schedule <name>", `What runs: ${Object.keys(SCHEDULES).join(" or ")}`, { default: "log" });
+program.option("--schedule <name>", `What runs: ${Object.keys(SCHEDULE_RUNNERS).join(" or ")}`, { default: "log" });
 program.option("--seeds <count>", "How many seeds to run", { default: 100 });
 program.option("--from <seed>", "The first seed", { default: 1 });
 program.help();
 const { options } = program.parse();
-if (!options.help && !(options.schedule in SCHEDULES)) {
+if (!options.help && !(options.schedule in SCHEDULE_RUNNERS)) {
     console.error(`there is no schedule ${options.schedule}; --help lists them`);
     process.exitCode = 2;
 }
