--- a/src/load/_lib/planDefaults.ts
+++ b/src/load/_lib/planDefaults.ts
@@ -1,5 +1,5 @@
-/** How the stand-ins of every recorded trace work: small engines, so that a few hundred requests fill them. */
-export const STAND_IN_PACE = {
+/** Emulator settings common to all trace plans: small engines, so that a few hundred requests saturate them. */
+export const EMULATOR_DEFAULTS = {
     slots: 4,
     stepMs: 20,
     stepMsPerRequest: 0.5,
@@ -8,5 +8,5 @@
     serviceMaxMs: 40,
 } as const;
 
-/** What no trace may show, whatever fails in it. */
-export const NOTHING_LOST = { lost: 0, doubled: 0 } as const;
+/** Bounds common to all trace plans: no request may be lost or doubled, whichever faults are injected. */
+export const SAFETY_BOUNDS = { lost: 0, doubled: 0 } as const;
--- a/src/load/_lib/readError.ts
+++ b/src/load/_lib/readError.ts
@@ -1,11 +1,11 @@
 import * as z from "zod";
 import { findHeader, HeaderList } from "../../ports/index.js";
 import { OUTCOME_HEADER, REQUEST_HEADER } from "../../protocol/index.js";
-import { Attempt } from "../outcome/index.js";
+import { AttemptResult } from "../outcome/index.js";
 
 const MS_PER_SECOND = 1_000;
 
-/** The body of a refusal or an error. */
+/** JSON body of a refusal or an error. */
 const errorBodySchema = z.looseObject({
     error: z.looseObject({
         type: z.string(),
@@ -17,34 +17,36 @@
 });
 
 /**
- * Reads an error that the system gave as its last word.
+ * Parses an error with which the system ended an attempt.
  *
- * @param text - The body, or an event's data.
- * @param headers - The answer's headers.
- * @returns What the attempt came to; "lost" when the text is no such error, unless the answer is the upstream's own.
+ * @param text - Response body, or the data of an event.
+ * @param headers - Response headers.
+ * @param tokenTimes - Arrival times of the tokens received before the error.
+ * @returns The result of the attempt. When the text is no such error, it is "failed" if the response was passed through from
+ * the upstream, else "lost".
  */
-export function readError(text: string, headers: HeaderList, tokenTimes: readonly number[] = []): Attempt {
-    const parsed = errorBodySchema.safeParse(parseOrUndefined(text));
+export function parseErrorResult(text: string, headers: HeaderList, tokenTimes: readonly number[] = []): AttemptResult {
+    const parsed = errorBodySchema.safeParse(tryParseJson(text));
     if (!parsed.success) {
         const request = findHeader(headers, REQUEST_HEADER);
-        const isUpstreamsOwn = findHeader(headers, OUTCOME_HEADER) === "answered";
-        return isUpstreamsOwn
-            ? { verdict: "failed", reason: "upstream-error", stated: "answered", request, tokenTimes }
+        const isFromUpstream = findHeader(headers, OUTCOME_HEADER) === "answered";
+        return isFromUpstream
+            ? { verdict: "failed", reason: "upstream-error", reportedOutcome: "answered", request, tokenTimes }
             : { verdict: "lost", reason: "malformed-error", request, tokenTimes };
     }
     const { type, outcome, retry_after_ms, request } = parsed.data.error;
     return {
         verdict: outcome === "not-run" ? "refused" : "failed",
         reason: type,
-        stated: outcome,
-        retryAfterMs: retry_after_ms ?? readRetryAfter(headers),
+        reportedOutcome: outcome,
+        retryAfterMs: retry_after_ms ?? readRetryAfterMs(headers),
         request: request ?? findHeader(headers, REQUEST_HEADER),
         tokenTimes,
     };
 }
 
-/** Parses JSON; undefined when the text is none. */
-export function parseOrUndefined(text: string): unknown {
+/** Parses JSON; returns undefined when the text is invalid. */
+export function tryParseJson(text: string): unknown {
     try {
         return JSON.parse(text);
     }
@@ -53,7 +55,7 @@
     }
 }
 
-function readRetryAfter(headers: HeaderList): number | undefined {
+function readRetryAfterMs(headers: HeaderList): number | undefined {
     const seconds = Number(findHeader(headers, "retry-after"));
     return Number.isFinite(seconds) ? seconds * MS_PER_SECOND : undefined;
 }
--- a/src/load/_lib/sendCall.ts
+++ b/src/load/_lib/sendCall.ts
@@ -12,21 +12,21 @@
 import { CLASS_HEADER } from "../../protocol/index.js";
 import { TraceRequest } from "../trace/index.js";
 
-/** What each attempt of a request needs. */
+/** Connection and credentials of one attempt to send a request. */
 export interface CallContext {
     readonly clock: Clock;
     readonly http: Http;
     readonly address: Address;
-    /** The workspace's key. */
+    /** API key of the workspace. */
     readonly key: string;
-    /** Ends the attempt: time is up, or the caller goes away. */
+    /** Aborts the attempt on timeout or when the caller disconnects. */
     readonly signal: AbortSignal;
 }
 
 const CONNECT_TIMEOUT_MS = 2_000;
 const HEAD_TIMEOUT_MS = 120_000;
 
-/** Sends a caller's JSON. */
+/** Sends a request with a JSON body and the caller's credentials. */
 export function sendCall(
     ctx: CallContext,
     request: TraceRequest,
@@ -55,7 +55,7 @@
     });
 }
 
-/** Reads a body to its end as text; undefined when it breaks off. */
+/** Reads a complete body as text; returns undefined when the connection breaks first. */
 export async function readText(reply: HttpReply): Promise<string | undefined> {
     return readReplyText(reply).catch(() => undefined);
 }
--- a/src/load/caller/index.ts
+++ b/src/load/caller/index.ts
@@ -1,29 +1,29 @@
 import { Address, Clock, Http, Random } from "../../ports/index.js";
+import { callService } from "../callService/index.js";
 import { callChat } from "../chatCall/index.js";
-import { Attempt, RequestResult, Verdict } from "../outcome/index.js";
-import { callService } from "../serviceCall/index.js";
+import { AttemptResult, RequestResult, Verdict } from "../outcome/index.js";
 import { TraceRequest } from "../trace/index.js";
 
-/** How callers behave. */
+/** Options of a caller: timeouts and repeated attempts. */
 export interface CallerConfig {
-    /** Where the system takes requests; a platform's balancer would pick one of these. */
+    /** The system's caller addresses. The caller picks one at random, as a load balancer would, and the next on each repeat. */
     readonly addresses: readonly Address[];
-    /** How long a caller waits for a whole answer, in milliseconds. */
+    /** Maximum time to the complete answer of one attempt, in milliseconds. */
     readonly timeoutMs: number;
-    /** How often a refused request is sent again after the time it was told. */
+    /** Maximum number of times that a refused request is sent again, each after the delay named in the refusal. */
     readonly retries: number;
-    /** A caller does not wait longer than this to come back, in milliseconds. */
+    /** Longest such delay that the caller accepts, in milliseconds; after a longer one it gives up. */
     readonly longestRetryWaitMs: number;
-    /** How often a request whose answer was lost is sent again; a call of a service under the same idempotency key. */
+    /** Maximum number of times that a request whose answer was lost is resent; service calls keep their idempotency key. */
     readonly resends: number;
     /**
-     * Which chats are sent again after their connection broke: those that had no token yet, as client libraries do by
-     * themselves, or all of them, as a person would.
+     * Which chats are resent after their connection broke: those that had received no token, as client libraries do on their
+     * own, or all of them, as a user would.
      */
     readonly chatResends: "before-first-token" | "always";
 }
 
-/** Callers that wait two minutes, take a refusal as their answer, and resend what was lost three times. */
+/** Options of a caller that waits two minutes, accepts a refusal as final, and resends a lost request up to three times. */
 export const DEFAULT_CALLER: Omit<CallerConfig, "addresses"> = {
     timeoutMs: 120_000,
     retries: 0,
@@ -32,68 +32,68 @@
     chatResends: "before-first-token",
 };
 
-/** What a caller runs on. */
+/** Ports that a caller uses. */
 export interface CallerPorts {
     readonly clock: Clock;
     readonly random: Random;
     readonly http: Http;
 }
 
-const RESEND_PAUSE_MS = 200;
+const RESEND_DELAY_MS = 200;
 
-/** Sends one request as a usual caller does, until it has its last word. */
+/** Sends requests as a typical client does, repeating attempts until the result is final. */
 export class Caller {
     constructor(private readonly ports: CallerPorts, private readonly cfg: CallerConfig) {}
 
     /**
-     * Sends a request, and again where a usual caller would.
+     * Sends a request, and repeats it where a typical client would.
      *
-     * @param request - The request.
-     * @param key - The workspace's key.
-     * @returns What it came to.
+     * @param request - Request to send.
+     * @param key - API key of the workspace.
+     * @returns The result of the request over all attempts.
      */
     async run(request: TraceRequest, key: string): Promise<RequestResult> {
         const { clock, random } = this.ports;
         const startedAt = clock.monotonic();
         let next = random.integer(0, this.cfg.addresses.length);
         let attempts = 0;
-        let attempt: Attempt;
+        let attempt: AttemptResult;
         do {
             const address = this.cfg.addresses[next++ % this.cfg.addresses.length];
-            attempt = await this.runOnce(request, key, address);
+            attempt = await this.runAttempt(request, key, address);
             attempts++;
         }
-        while (await this.waitToRepeat(request, attempt, attempts));
-        return describeResult(request, attempt, attempts, startedAt, clock.monotonic());
+        while (await this.waitForRepeat(request, attempt, attempts));
+        return makeRequestResult(request, attempt, attempts, startedAt, clock.monotonic());
     }
 
-    private async runOnce(request: TraceRequest, key: string, address: Address): Promise<Attempt> {
+    private async runAttempt(request: TraceRequest, key: string, address: Address): Promise<AttemptResult> {
         const { clock, http } = this.ports;
         const abort = new AbortController();
-        const leaveMs = request.kind === "chat" ? request.leave_after_ms : undefined;
-        const limitMs = Math.min(this.cfg.timeoutMs, leaveMs ?? Number.POSITIVE_INFINITY);
-        const limit = clock.after(limitMs, () => abort.abort());
+        const leaveAfterMs = request.kind === "chat" ? request.leave_after_ms : undefined;
+        const abortAfterMs = Math.min(this.cfg.timeoutMs, leaveAfterMs ?? Number.POSITIVE_INFINITY);
+        const abortTimer = clock.after(abortAfterMs, () => abort.abort());
         const ctx = { clock, http, address, key, signal: abort.signal };
         const attempt = request.kind === "chat" ? await callChat(ctx, request) : await callService(ctx, request);
-        limit.cancel();
+        abortTimer.cancel();
         if (!abort.signal.aborted) return attempt;
-        const verdict: Verdict = leaveMs === limitMs ? "left" : "lost";
+        const verdict: Verdict = leaveAfterMs === abortAfterMs ? "left" : "lost";
         return { ...attempt, verdict, reason: verdict === "left" ? "left" : "timeout" };
     }
 
-    /** Whether a usual caller takes the answer for lost and asks again. */
-    private isResent(request: TraceRequest, attempt: Attempt): boolean {
+    /** Whether a typical client considers the answer lost and sends the request again. */
+    private shouldResend(request: TraceRequest, attempt: AttemptResult): boolean {
         if (attempt.verdict !== "lost") return false;
         if (request.kind === "service") return true;
         const isBroken = attempt.reason === "closed" || attempt.reason === "cut";
         return isBroken && (this.cfg.chatResends === "always" || attempt.tokenTimes.length === 0);
     }
 
-    /** Whether the request goes out once more; waits as long as a caller would. */
-    private async waitToRepeat(request: TraceRequest, attempt: Attempt, attempts: number): Promise<boolean> {
+    /** Decides whether the request is sent again, and if so waits for the delay before it. */
+    private async waitForRepeat(request: TraceRequest, attempt: AttemptResult, attempts: number): Promise<boolean> {
         const { clock } = this.ports;
-        if (attempt.isUnreachable || this.isResent(request, attempt)) {
-            await clock.sleep(RESEND_PAUSE_MS);
+        if (attempt.isUnreachable || this.shouldResend(request, attempt)) {
+            await clock.sleep(RESEND_DELAY_MS);
             return attempts <= this.cfg.resends;
         }
         const { retryAfterMs } = attempt;
@@ -104,15 +104,15 @@
     }
 }
 
-function describeResult(
+function makeRequestResult(
     request: TraceRequest,
-    attempt: Attempt,
+    attempt: AttemptResult,
     attempts: number,
     startedAt: number,
     endedAt: number,
 ): RequestResult {
     const times = attempt.tokenTimes;
-    const first = times.length > 0 ? times[0] : undefined;
+    const firstTime = times.length > 0 ? times[0] : undefined;
     const gaps = times.slice(1).map((time, index) => time - times[index]);
     const isStreamed = request.kind === "chat" && request.stream;
     const hasGaps = isStreamed && gaps.length > 0;
@@ -125,7 +125,7 @@
         reason: attempt.reason,
         request: attempt.request,
         attempts,
-        firstTokenMs: first === undefined ? undefined : first - startedAt,
+        firstTokenMs: firstTime === undefined ? undefined : firstTime - startedAt,
         tokenMs: hasGaps ? (times[times.length - 1] - times[0]) / gaps.length : undefined,
         longestGapMs: hasGaps ? Math.max(...gaps) : undefined,
         totalMs: endedAt - startedAt,
--- a/src/load/caller/test.ts
+++ b/src/load/caller/test.ts
@@ -41,10 +41,10 @@
     error: { type: "over-capacity", message: "", outcome: "not-run", retry_after_ms: 2_000 },
 };
 
-type Answer = (req: HttpRequest, res: HttpResponse) => Promise<void>;
+type AnswerHandler = (req: HttpRequest, res: HttpResponse) => Promise<void>;
 
-/** A system of two addresses that gives these answers, one after the other, the last one for good. */
-async function startSystem(answers: readonly Answer[], change: Partial<CallerConfig> = {}) {
+/** Starts a system with two addresses that sends these answers in order and repeats the last one. */
+async function startSystem(answers: readonly AnswerHandler[], change: Partial<CallerConfig> = {}) {
     const clock = new VirtualClock();
     const web = new MemoryWeb(new MemoryFabric(clock, () => 1));
     const seen: string[] = [];
@@ -64,7 +64,10 @@
     return { clock, web, seen, run };
 }
 
-function streamText(text: string, tail = `data: ${JSON.stringify(makeChunk({}, "stop"))}\n\ndata: [DONE]\n\n`): Answer {
+function answerWithStream(
+    text: string,
+    tail = `data: ${JSON.stringify(makeChunk({}, "stop"))}\n\ndata: [DONE]\n\n`,
+): AnswerHandler {
     return async (_, res) => {
         res.head(200, [["content-type", "text/event-stream"]]);
         for (const token of text.split(/(?<= )/)) {
@@ -78,108 +81,117 @@
     return { choices: [{ index: 0, delta, finish_reason }] };
 }
 
-function sendBody(status: number, body: unknown): Answer {
+function answerWithBody(status: number, body: unknown): AnswerHandler {
     return async (_, res) => {
         res.head(status, []);
         res.end(JSON.stringify(body));
     };
 }
 
-const cut: Answer = async (_, res) => res.reset();
-const silent: Answer = () => new Promise(() => undefined);
-const WHOLE = expectedAnswer(CHAT.messages, answerLength(CHAT.messages));
-const confirmed = digestBody(Buffer.from(JSON.stringify(BOOKING.body)));
+const resetConnection: AnswerHandler = async (_, res) => res.reset();
+const neverAnswer: AnswerHandler = () => new Promise(() => undefined);
+const EXPECTED_ANSWER = expectedAnswer(CHAT.messages, answerLength(CHAT.messages));
+const bookingDigest = digestBody(Buffer.from(JSON.stringify(BOOKING.body)));
 
 describe("Caller", () => {
     describe("a chat", () => {
         it("is answered when each token came once and in order", async () => {
-            const { run } = await startSystem([streamText(WHOLE)]);
+            const { run } = await startSystem([answerWithStream(EXPECTED_ANSWER)]);
             const result = await run(CHAT);
             assert.deepEqual([result.verdict, result.tokens], ["answered", 6]);
         });
 
-        it("is doubled when a token comes twice, as after a bad resume", async () => {
-            const tokens = WHOLE.split(/(?<= )/);
-            const { run } = await startSystem([streamText([...tokens.slice(0, 3), ...tokens.slice(2)].join(""))]);
+        it("is doubled when a token arrives twice, as after a faulty resume", async () => {
+            const tokens = EXPECTED_ANSWER.split(/(?<= )/);
+            const { run } = await startSystem([answerWithStream([...tokens.slice(0, 3), ...tokens.slice(2)].join(""))]);
             assert.equal((await run(CHAT)).verdict, "doubled");
         });
 
-        it("is lost when the answer is that of another request", async () => {
-            const { run } = await startSystem([streamText(expectedAnswer([{ role: "user", content: "x" }], 6))]);
+        it("is lost when the answer belongs to another request", async () => {
+            const { run } = await startSystem([answerWithStream(expectedAnswer([{ role: "user", content: "x" }], 6))]);
             const { verdict, reason } = await run(CHAT);
             assert.deepEqual([verdict, reason], ["lost", "wrong-answer"]);
         });
 
         it("is lost when the stream ends without its terminal event", async () => {
-            const { run } = await startSystem([streamText(WHOLE, "")]);
+            const { run } = await startSystem([answerWithStream(EXPECTED_ANSWER, "")]);
             const { verdict, reason } = await run(CHAT);
             assert.deepEqual([verdict, reason], ["lost", "no-terminal-event"]);
         });
 
-        it("is lost when nothing comes within the caller's time", async () => {
-            const { run } = await startSystem([silent], { timeoutMs: 5_000 });
+        it("is lost when nothing arrives within the caller's timeout", async () => {
+            const { run } = await startSystem([neverAnswer], { timeoutMs: 5_000 });
             const { verdict, reason } = await run(CHAT);
             assert.deepEqual([verdict, reason], ["lost", "timeout"]);
         });
 
-        it("has failed when the last event says that it ran in part", async () => {
+        it("has failed when the last event reports that it ran in part", async () => {
             const error = { ...REFUSAL.error, type: "key-withdrawn", outcome: "partly-run" };
-            const { run } = await startSystem([streamText(WHOLE, `data: ${JSON.stringify({ error })}\n\n`)]);
+            const { run } = await startSystem([
+                answerWithStream(EXPECTED_ANSWER, `data: ${JSON.stringify({ error })}\n\n`),
+            ]);
             const { verdict, reason } = await run(CHAT);
             assert.deepEqual([verdict, reason], ["failed", "key-withdrawn"]);
         });
 
-        it("is refused when it was not run, or comes back after the time it was told", async () => {
-            const once = await startSystem([sendBody(503, REFUSAL)]);
+        it("is refused when it was not run, or is retried after the delay in the refusal", async () => {
+            const once = await startSystem([answerWithBody(503, REFUSAL)]);
             assert.equal((await once.run(CHAT)).verdict, "refused");
-            const twice = await startSystem([sendBody(503, REFUSAL), streamText(WHOLE)], { retries: 1 });
+            const twice = await startSystem([answerWithBody(503, REFUSAL), answerWithStream(EXPECTED_ANSWER)], {
+                retries: 1,
+            });
             const { verdict, attempts, totalMs } = await twice.run(CHAT);
             assert.deepEqual([verdict, attempts], ["answered", 2]);
             assert.ok(totalMs > 2_000);
         });
 
-        it("goes to another address when a host refuses the connection", async () => {
-            const { web, run } = await startSystem([streamText(WHOLE)]);
+        it("is sent to another address when a host refuses the connection", async () => {
+            const { web, run } = await startSystem([answerWithStream(EXPECTED_ANSWER)]);
             web.crash("a");
             for (let round = 0; round < 4; round++) assert.equal((await run(CHAT)).verdict, "answered");
         });
 
-        it("is sent again when its connection broke before the first token, and later only where callers do that", async () => {
-            const early = await startSystem([cut, streamText(WHOLE)]);
+        it("is resent when its connection broke before the first token, and after it only if so configured", async () => {
+            const early = await startSystem([resetConnection, answerWithStream(EXPECTED_ANSWER)]);
             assert.deepEqual((await early.run(CHAT)).verdict, "answered");
-            const broken: Answer = async (_, res) => {
+            const broken: AnswerHandler = async (_, res) => {
                 res.head(200, []);
-                void res.write(`data: ${JSON.stringify(makeChunk({ content: WHOLE.split(/(?<= )/)[0] }))}\n\n`);
+                void res.write(
+                    `data: ${JSON.stringify(makeChunk({ content: EXPECTED_ANSWER.split(/(?<= )/)[0] }))}\n\n`,
+                );
                 res.reset();
             };
-            const late = await startSystem([broken, streamText(WHOLE)]);
+            const late = await startSystem([broken, answerWithStream(EXPECTED_ANSWER)]);
             assert.deepEqual((await late.run(CHAT)).reason, "cut");
-            const always = await startSystem([broken, streamText(WHOLE)], { chatResends: "always" });
+            const always = await startSystem([broken, answerWithStream(EXPECTED_ANSWER)], { chatResends: "always" });
             const { verdict, attempts } = await always.run(CHAT);
             assert.deepEqual([verdict, attempts], ["answered", 2]);
         });
 
-        it("is left when its caller goes away, as the trace says", async () => {
-            const { run } = await startSystem([silent]);
+        it("is left when its caller disconnects, as the trace specifies", async () => {
+            const { run } = await startSystem([neverAnswer]);
             assert.equal((await run({ ...CHAT, leave_after_ms: 50 })).verdict, "left");
         });
     });
 
     describe("a call of a service", () => {
-        it("is sent again through the other address, under the same key, when its answer is lost", async () => {
-            const { seen, run } = await startSystem([cut, sendBody(200, { confirmed, run: 1 })]);
+        it("is resent to the other address with the same idempotency key when its answer is lost", async () => {
+            const { seen, run } = await startSystem([
+                resetConnection,
+                answerWithBody(200, { confirmed: bookingDigest, run: 1 }),
+            ]);
             const { verdict, attempts } = await run(BOOKING);
             assert.deepEqual([verdict, attempts], ["answered", 2]);
             assert.deepEqual([...seen].sort(), ["a b-1", "b b-1"]);
         });
 
-        it("is doubled when the answer says that it ran twice", async () => {
-            const { run } = await startSystem([sendBody(200, { confirmed, run: 2 })]);
+        it("is doubled when the answer reports a second run", async () => {
+            const { run } = await startSystem([answerWithBody(200, { confirmed: bookingDigest, run: 2 })]);
             assert.equal((await run(BOOKING)).verdict, "doubled");
         });
 
-        it("has failed, and is not sent again, when the service itself answers with an error", async () => {
-            const ownError: Answer = async (_, res) => {
+        it("has failed, and is not resent, when the service itself answers with an error", async () => {
+            const ownError: AnswerHandler = async (_, res) => {
                 res.head(503, [[OUTCOME_HEADER, "answered"]]);
                 res.end("{\"error\":\"closed for stocktaking\"}");
             };
@@ -188,9 +200,9 @@
             assert.deepEqual([verdict, attempts], ["failed", 1]);
         });
 
-        it("has failed when the system can't know whether it ran", async () => {
+        it("has failed when the system cannot tell whether it ran", async () => {
             const error = { ...REFUSAL.error, type: "answer-lost", outcome: "unknown" };
-            const { run } = await startSystem([sendBody(502, { error })]);
+            const { run } = await startSystem([answerWithBody(502, { error })]);
             assert.equal((await run(BOOKING)).verdict, "failed");
         });
     });
--- a/src/load/chatCall/index.ts
+++ b/src/load/chatCall/index.ts
@@ -2,10 +2,10 @@
 import { answerSeed, answerToken, expectedAnswer } from "../../emulator/index.js";
 import { findHeader, HttpReply } from "../../ports/index.js";
 import { CALLER_PATHS, REQUEST_HEADER, STREAM_DONE } from "../../protocol/index.js";
-import { parseOrUndefined, readError } from "../_lib/readError.js";
+import { parseErrorResult, tryParseJson } from "../_lib/readError.js";
 import { CallContext, readText, sendCall } from "../_lib/sendCall.js";
-import { readEvents } from "../eventStream/index.js";
-import { Attempt } from "../outcome/index.js";
+import { AttemptResult } from "../outcome/index.js";
+import { readEvents } from "../readEvents/index.js";
 import { TraceChat } from "../trace/index.js";
 
 const chunkSchema = z.looseObject({
@@ -14,18 +14,18 @@
         finish_reason: z.string().nullish(),
     })).min(1),
 });
-const wholeSchema = z.looseObject({
+const completionSchema = z.looseObject({
     choices: z.array(z.looseObject({ message: z.looseObject({ content: z.string() }) })).min(1),
 });
 
 /**
- * Sends a chat request once, and checks its answer token for token.
+ * Sends a chat request once, and checks every token of its answer.
  *
- * @param ctx - Where to, and by whose key.
- * @param chat - The request.
- * @returns What the attempt came to; never "left", which its caller knows better.
+ * @param ctx - Connection and credentials of the attempt.
+ * @param chat - Request to send.
+ * @returns The result of the attempt; never "left", because only the code that aborts the attempt can tell that.
  */
-export async function callChat(ctx: CallContext, chat: TraceChat): Promise<Attempt> {
+export async function callChat(ctx: CallContext, chat: TraceChat): Promise<AttemptResult> {
     const { model, messages, max_tokens, stream } = chat;
     const sent = await sendCall(ctx, chat, CALLER_PATHS.chat, { model, messages, max_tokens, stream });
     if (sent.isLeft()) {
@@ -36,16 +36,16 @@
     const request = findHeader(reply.headers, REQUEST_HEADER);
     if (reply.status !== 200) {
         const text = await readText(reply);
-        return text === undefined ? lost("cut", [], request) : readError(text, reply.headers);
+        return text === undefined ? makeLost("cut", [], request) : parseErrorResult(text, reply.headers);
     }
-    const attempt = stream ? await readStream(ctx, chat, reply) : await readWhole(ctx, chat, reply);
+    const attempt = stream ? await readStream(ctx, chat, reply) : await readCompletion(ctx, chat, reply);
     return { ...attempt, request: attempt.request ?? request };
 }
 
-async function readStream(ctx: CallContext, chat: TraceChat, reply: HttpReply): Promise<Attempt> {
-    const watch = new TokenWatch(answerSeed(chat.messages));
+async function readStream(ctx: CallContext, chat: TraceChat, reply: HttpReply): Promise<AttemptResult> {
+    const recorder = new TokenTimeRecorder(answerSeed(chat.messages));
     let text = "";
-    let finish: string | undefined;
+    let finishReason: string | undefined;
     let isDone = false;
     try {
         for await (const data of readEvents(reply.body)) {
@@ -53,53 +53,57 @@
                 isDone = true;
                 continue;
             }
-            const chunk = chunkSchema.safeParse(parseOrUndefined(data));
-            if (!chunk.success) return readError(data, reply.headers, watch.times);
+            const chunk = chunkSchema.safeParse(tryParseJson(data));
+            if (!chunk.success) return parseErrorResult(data, reply.headers, recorder.times);
             const [choice] = chunk.data.choices;
             text += choice.delta.content ?? "";
-            finish = choice.finish_reason ?? finish;
-            watch.note(text.length, ctx.clock.monotonic());
+            finishReason = choice.finish_reason ?? finishReason;
+            recorder.record(text.length, ctx.clock.monotonic());
         }
     }
     catch {
-        return lost("cut", watch.times);
+        return makeLost("cut", recorder.times);
     }
-    if (!isDone || finish === undefined) return lost("no-terminal-event", watch.times);
-    return judgeText(chat, text, watch.times);
+    if (!isDone || finishReason === undefined) return makeLost("no-terminal-event", recorder.times);
+    return checkAnswer(chat, text, recorder.times);
 }
 
-/** Notes when each token came, whatever number of tokens a chunk carries. */
-class TokenWatch {
+/** Records the arrival time of each token, for chunks with any number of tokens. */
+class TokenTimeRecorder {
     readonly times: number[] = [];
-    private seenLength = 0;
+    private recordedLength = 0;
 
     constructor(private readonly seed: number) {}
 
-    /** Notes the tokens that a text of this length holds beyond those known. */
-    note(textLength: number, now: number): void {
-        while (this.seenLength < textLength) {
-            this.seenLength += answerToken(this.seed, this.times.length).length;
+    /** Records the tokens that a text of this length contains beyond those recorded before. */
+    record(textLength: number, now: number): void {
+        while (this.recordedLength < textLength) {
+            this.recordedLength += answerToken(this.seed, this.times.length).length;
             this.times.push(now);
         }
     }
 }
 
-async function readWhole(ctx: CallContext, chat: TraceChat, reply: HttpReply): Promise<Attempt> {
+async function readCompletion(ctx: CallContext, chat: TraceChat, reply: HttpReply): Promise<AttemptResult> {
     const text = await readText(reply);
-    if (text === undefined) return lost("cut", []);
-    const whole = wholeSchema.safeParse(parseOrUndefined(text));
-    if (!whole.success) return readError(text, reply.headers);
+    if (text === undefined) return makeLost("cut", []);
+    const completion = completionSchema.safeParse(tryParseJson(text));
+    if (!completion.success) return parseErrorResult(text, reply.headers);
     const times = Array.from({ length: chat.tokens }, () => ctx.clock.monotonic());
-    return judgeText(chat, whole.data.choices[0].message.content, times);
+    return checkAnswer(chat, completion.data.choices[0].message.content, times);
 }
 
-function judgeText(chat: TraceChat, text: string, tokenTimes: readonly number[]): Attempt {
+function checkAnswer(chat: TraceChat, text: string, tokenTimes: readonly number[]): AttemptResult {
     if (text === expectedAnswer(chat.messages, chat.tokens)) return { verdict: "answered", tokenTimes };
-    const numbers = text.trim().split(" ").map(token => /\d+$/.exec(token)?.[0]);
-    const isTwice = new Set(numbers).size < numbers.length;
-    return { verdict: isTwice ? "doubled" : "lost", reason: isTwice ? "token-twice" : "wrong-answer", tokenTimes };
+    const tokenNumbers = text.trim().split(" ").map(token => /\d+$/.exec(token)?.[0]);
+    const isRepeated = new Set(tokenNumbers).size < tokenNumbers.length;
+    return {
+        verdict: isRepeated ? "doubled" : "lost",
+        reason: isRepeated ? "token-twice" : "wrong-answer",
+        tokenTimes,
+    };
 }
 
-function lost(reason: string, tokenTimes: readonly number[], request?: string): Attempt {
+function makeLost(reason: string, tokenTimes: readonly number[], request?: string): AttemptResult {
     return { verdict: "lost", reason, tokenTimes, request };
 }
--- a/src/load/spread/index.ts
+++ b/src/load/computePercentiles/index.ts
@@ -1,26 +1,26 @@
 import { HistogramTable } from "../../metrics/index.js";
 
-/** Percentiles of one figure, in milliseconds; 0 where there is none. */
-export interface Spread {
+/** Percentiles of durations, in milliseconds; 0 without values. */
+export interface Percentiles {
     readonly p50: number;
     readonly p95: number;
     readonly p99: number;
     readonly max: number;
 }
 
-const FIGURE = "ms";
+const METRIC_NAME = "ms";
 
 /**
- * Gives the spread of a figure.
+ * Computes the percentiles of durations.
  *
- * @param values - In milliseconds; undefined ones are left out.
+ * @param values - Durations in milliseconds; undefined ones are ignored.
  * @example
  * spreadOf([1.5, 2, undefined, 30]).max; // 30
  */
-export function spreadOf(values: readonly (number | undefined)[]): Spread {
+export function computePercentiles(values: readonly (number | undefined)[]): Percentiles {
     const table = new HistogramTable(1);
     for (const value of values) {
-        if (value !== undefined) table.record(FIGURE, value);
+        if (value !== undefined) table.record(METRIC_NAME, value);
     }
     const [row] = table.list();
     if (!row) return { p50: 0, p95: 0, p99: 0, max: 0 };
--- a/src/load/consortiumPlan/index.ts
+++ b/src/load/consortiumPlan/index.ts
@@ -1,6 +1,6 @@
 import { ControlAction, RequestFault, ServiceFault } from "../../emulator/index.js";
-import { NOTHING_LOST, STAND_IN_PACE } from "../_lib/planDefaults.js";
-import { TracePlan, WorkspacePlan } from "../recordTrace/index.js";
+import { EMULATOR_DEFAULTS, SAFETY_BOUNDS } from "../_lib/planDefaults.js";
+import { TracePlan, WorkspacePlan } from "../generateTrace/index.js";
 
 const MODEL = "shared-model";
 const DISPATCH = "dispatch";
@@ -15,7 +15,7 @@
     return { name, part, weight, system };
 }
 
-/** Midday at the Consortium: drivers at the gates ask all at once, while clerks book loads. */
+/** Trace plan of a shared dispatch platform at midday: drivers send routing requests in a burst while clerks book loads. */
 export const CONSORTIUM_MIDDAY: TracePlan = {
     name: "consortium-midday",
     zones: ["sohar", "barka", "muscat"],
@@ -116,7 +116,7 @@
     bounds: {
         attainment: { safety: 0.95, bookings: 0.95, routing: 0.75, manifests: 0.25 },
         worst_workspace: 0.5,
-        ...NOTHING_LOST,
+        ...SAFETY_BOUNDS,
     },
     faults: [],
     emulator: {
@@ -125,13 +125,13 @@
         pool: MODEL,
         service: DISPATCH,
         zones: "sohar,barka,muscat",
-        ...STAND_IN_PACE,
+        ...EMULATOR_DEFAULTS,
     },
 };
 
 /**
- * The same midday with faults that engines do not report: a straggler, an engine that freezes, streams that break off or
- * fall silent, a crossed answer, and bookings whose answers are late, crossed or lost.
+ * `CONSORTIUM_MIDDAY` with faults that upstreams do not report: a straggler, an engine that freezes, streams that break off or
+ * stall, an answer to another request, and bookings whose answers are late, lost or belong to another request.
  */
 export const CONSORTIUM_FAULTS: TracePlan = {
     ...CONSORTIUM_MIDDAY,
@@ -139,7 +139,7 @@
     bounds: {
         attainment: { safety: 0.9, bookings: 0.85, routing: 0.3, manifests: 0.15 },
         worst_workspace: 0.3,
-        ...NOTHING_LOST,
+        ...SAFETY_BOUNDS,
     },
     faults: [
         { atMs: 1_000, action: { action: "slow", upstream: `${MODEL}-sohar-1`, factor: 6 } },
--- a/src/load/crossCheck/test.ts
+++ b/src/load/crossCheck/test.ts
@@ -1,17 +1,17 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { SeededRandom } from "../../ports/index.js";
+import { digestCall } from "../callService/index.js";
+import { generateTrace } from "../generateTrace/index.js";
 import { RequestResult } from "../outcome/index.js";
-import { recordTrace } from "../recordTrace/index.js";
-import { digestCall } from "../serviceCall/index.js";
 import { Trace } from "../trace/index.js";
 import { UTILITY_MORNING } from "../utilityPlan/index.js";
 import { crossCheck } from "./index.js";
 
-const WHOLE = recordTrace(UTILITY_MORNING, new SeededRandom(1));
-const CHAT = WHOLE.requests.find(request => request.kind === "chat")!;
-const CALL = WHOLE.requests.find(request => request.kind === "service")!;
-const TRACE: Trace = { ...WHOLE, requests: [CHAT, CALL] };
+const GENERATED = generateTrace(UTILITY_MORNING, new SeededRandom(1));
+const CHAT = GENERATED.requests.find(request => request.kind === "chat")!;
+const CALL = GENERATED.requests.find(request => request.kind === "service")!;
+const TRACE: Trace = { ...GENERATED, requests: [CHAT, CALL] };
 const DIGEST = digestCall(CALL);
 
 function makeResult(change: Partial<RequestResult>): RequestResult {
@@ -30,7 +30,7 @@
 }
 
 describe("crossCheck", () => {
-    it("finds nothing where what ran is what callers were told", () => {
+    it("reports nothing when what ran matches what callers were told", () => {
         const results = [makeResult({ tokens: 30 }), makeResult({ kind: "service", request: "r2" })];
         const runs = {
             calls: [{ service: "ledger", digest: DIGEST, runs: 1 }],
@@ -40,9 +40,9 @@
         assert.deepEqual(check, { untruthful: [], doubledCalls: [], wastedTokens: 4, tokens: 34 });
     });
 
-    it("finds a refusal that said not run, of a request that ran", () => {
-        // A caller is told that its booking was not run, books again, and two loads arrive.
-        // The call left, its answer came late, and the system took silence for not run.
+    it("reports a refusal as not run of a request that ran", () => {
+        // The call was sent and its answer came late; a system that treats a missing answer as not run refuses the call,
+        // the caller books again, and the booking runs twice.
         const results = [makeResult({ verdict: "refused" }), makeResult({ kind: "service", verdict: "refused" })];
         const runs = { calls: [{ service: "ledger", digest: DIGEST, runs: 1 }], chats: [] };
         assert.deepEqual(crossCheck(TRACE, results, runs).untruthful, [
@@ -50,7 +50,7 @@
         ]);
     });
 
-    it("finds a call that ran twice although its caller saw one answer", () => {
+    it("reports a call that ran twice although its caller received one answer", () => {
         const results = [makeResult({}), makeResult({ kind: "service" })];
         const runs = {
             calls: [{ service: "ledger", digest: DIGEST, runs: 2 }],
@@ -59,7 +59,7 @@
         assert.equal(crossCheck(TRACE, results, runs).doubledCalls.length, 1);
     });
 
-    it("finds an answer that no upstream ran", () => {
+    it("reports an answer to a request that no upstream ran", () => {
         const results = [makeResult({}), makeResult({ kind: "service", verdict: "left" })];
         assert.deepEqual(crossCheck(TRACE, results, { calls: [], chats: [] }).untruthful, ["r1"]);
     });
--- a/src/load/emulatorClient/index.ts
+++ b/src/load/emulatorClient/index.ts
@@ -1,15 +1,15 @@
 import { CONTROL_PATHS, ControlAction, Runs, runsSchema } from "../../emulator/index.js";
 import { Address, formatAddress, Http, HttpReply } from "../../ports/index.js";
-import { parseOrUndefined } from "../_lib/readError.js";
+import { tryParseJson } from "../_lib/readError.js";
 import { readText } from "../_lib/sendCall.js";
 
-/** An emulator that gave no answer, or not the one asked for. */
+/** A request to the emulator that failed, was refused or got an invalid answer. */
 export class EmulatorError extends Error {}
 
 const TIMEOUT_MS = 5_000;
 
 /**
- * Asks and steers a running emulator over its control port.
+ * Client of the control API of a running emulator.
  *
  * @example
  * const emulator = new EmulatorClient(http, { host: "127.0.0.1", port: 7300 });
@@ -17,27 +17,27 @@
  */
 export class EmulatorClient {
     /**
-     * @param http - How to reach it.
-     * @param address - Its control port.
+     * @param http - HTTP port for the requests.
+     * @param address - Address of the emulator's control API.
      */
     constructor(private readonly http: Http, private readonly address: Address) {}
 
     /**
-     * Asks what ran.
+     * Fetches the record of the chats and calls that the emulated upstreams ran.
      *
-     * @throws EmulatorError
+     * @throws EmulatorError when the emulator does not answer with a valid record.
      */
     async fetchRuns(): Promise<Runs> {
         const reply = await this.send("GET", CONTROL_PATHS.runs);
-        const parsed = runsSchema.safeParse(parseOrUndefined(await readText(reply) ?? ""));
+        const parsed = runsSchema.safeParse(tryParseJson(await readText(reply) ?? ""));
         if (!parsed.success) throw new EmulatorError(`${formatAddress(this.address)} gave no list of runs`);
         return parsed.data;
     }
 
     /**
-     * Does one thing to the stand-ins.
+     * Applies one action, such as a fault, to the emulated upstreams.
      *
-     * @throws EmulatorError
+     * @throws EmulatorError when the emulator does not answer or refuses the action.
      */
     async apply(action: ControlAction): Promise<void> {
         const reply = await this.send("POST", CONTROL_PATHS.do, Buffer.from(JSON.stringify(action)));
--- a/src/load/emulatorClient/test.ts
+++ b/src/load/emulatorClient/test.ts
@@ -8,7 +8,7 @@
 const LIMIT_MS = 1_000;
 
 describe("EmulatorClient", () => {
-    it("has things done at the stand-ins, and learns what ran", async () => {
+    it("applies actions to the emulated upstreams, and fetches what ran", async () => {
         const clock = new VirtualClock();
         const web = new MemoryWeb(new MemoryFabric(clock, () => 0));
         const keyWatch = new KeyWatch();
--- a/src/load/report/index.ts
+++ b/src/load/formatReport/index.ts
@@ -1,5 +1,5 @@
-import { GroupReport, ReplayReport } from "../attainment/index.js";
 import { CrossCheck } from "../crossCheck/index.js";
+import { GroupReport, ReplayReport } from "../summarizeReplay/index.js";
 
 const GROUP_COLUMNS = [
     "sent",
@@ -19,11 +19,11 @@
 const COLUMN_GAP = "  ";
 
 /**
- * Writes a replay's report as tables for people. Times in milliseconds.
+ * Formats a replay's report as text tables. Times are in milliseconds.
  *
- * @param report - From `summarizeReplay`.
- * @param check - What ran, held against it; where the stand-ins could be asked.
- * @returns Lines, the last one ended.
+ * @param report - Report from `summarizeReplay`.
+ * @param check - Comparison with the emulator's record of what ran, if available.
+ * @returns Lines of text with a final line break.
  */
 export function formatReport(report: ReplayReport, check?: CrossCheck): string {
     const lines = [
--- a/src/load/recordTrace/index.ts
+++ b/src/load/generateTrace/index.ts
@@ -10,54 +10,57 @@
     TraceWorkspace,
 } from "../trace/index.js";
 
-/** A workspace's part in the traffic. */
+/** A workspace and its share of the traffic. */
 export interface WorkspacePlan extends TraceWorkspace {
-    /** Its part of the requests, beside the parts of the others. */
+    /** Relative share of the requests, as a weight among all workspaces. */
     readonly part: number;
-    /** What the workspace's prompts begin with; long enough to be worth a cache. */
+    /** System prompt that opens the workspace's prompts; long enough to make prefix caching worthwhile. */
     readonly system: string;
 }
 
-/** Requests of one class over a span of time, the most of them about a peak. */
+/** Requests of one class in a period of time, with a peak of the rate within it. */
 interface TrafficPlan {
     readonly className: string;
     readonly count: number;
     readonly startMs: number;
     readonly peakMs: number;
     readonly endMs: number;
-    /** The workspaces that send them; empty means all. */
+    /** Names of the workspaces that send the requests; empty means all. */
     readonly workspaces: readonly string[];
 }
 
-/** Chat requests. */
+/** Traffic of chat requests. */
 export interface ChatTraffic extends TrafficPlan {
     readonly kind: "chat";
     readonly model: string;
-    /** Each `#` stands for a number. */
+    /** Prompt texts; each `#` is replaced by a random number. */
     readonly prompts: readonly string[];
+    /** Minimum number of tokens of an answer. */
     readonly leastTokens: number;
+    /** Maximum number of tokens of an answer. */
     readonly mostTokens: number;
-    /** The share that asks for one whole JSON answer instead of a stream. */
+    /** Share of requests for a single JSON answer instead of a stream, from 0 to 1. */
     readonly wholeShare: number;
-    /** The share of callers that go away early. */
+    /** Share of callers that disconnect early, from 0 to 1. */
     readonly leavingShare: number;
 }
 
-/** Calls of a plain service. */
+/** Traffic of calls to a plain service, which is not a language-model engine. */
 export interface ServiceTraffic extends TrafficPlan {
     readonly kind: "service";
     readonly service: string;
     readonly path: string;
+    /** Names of items; the body of each call contains one of them. */
     readonly items: readonly string[];
 }
 
-/** Something that goes wrong at a set time. */
+/** A fault and the time at which it is injected. */
 export interface FaultPlan {
     readonly atMs: number;
     readonly action: ControlAction;
 }
 
-/** All that a trace is made from. */
+/** Parameters from which a trace is generated. */
 export interface TracePlan {
     readonly name: string;
     readonly zones: readonly string[];
@@ -65,29 +68,29 @@
     readonly workspaces: readonly WorkspacePlan[];
     readonly traffic: readonly (ChatTraffic | ServiceTraffic)[];
     readonly bounds: TraceBounds;
-    /** What goes wrong, in the order of its times. */
+    /** Injected faults; the trace orders them by time. */
     readonly faults: readonly FaultPlan[];
-    /** Settings of the emulator, by the names of its flags. */
+    /** Emulator settings, by name in camelCase of the emulator's flag. */
     readonly emulator: Readonly<Record<string, string | number | boolean>>;
 }
 
-const HIGHEST_NUMBER = 1_000;
-const SPARE_TOKENS = 16;
-const EARLIEST_LEAVE_MS = 100;
-const LATEST_LEAVE_MS = 600;
+const PROMPT_NUMBER_LIMIT = 1_000;
+const MAX_TOKENS_MARGIN = 16;
+const MIN_LEAVE_AFTER_MS = 100;
+const MAX_LEAVE_AFTER_MS = 600;
 
 /**
- * Makes a trace.
+ * Generates a trace from a plan.
  *
- * @param plan - What it is made from.
- * @param random - Seeded, so that the trace can be made again.
- * @returns The requests in the order of their times.
+ * @param plan - Parameters of the trace.
+ * @param random - Seeded random source, so that the trace is reproducible.
+ * @returns The trace, with requests and faults in the order of time.
  * @example
  * recordTrace(UTILITY_MORNING, new SeededRandom(1));
  */
-export function recordTrace(plan: TracePlan, random: Random): Trace {
-    const recorder = new TraceRecorder(plan, random);
-    const requests = plan.traffic.flatMap(traffic => recorder.recordTraffic(traffic));
+export function generateTrace(plan: TracePlan, random: Random): Trace {
+    const generator = new TraceGenerator(plan, random);
+    const requests = plan.traffic.flatMap(traffic => generator.generateRequests(traffic));
     return {
         header: {
             version: TRACE_VERSION,
@@ -106,23 +109,23 @@
     };
 }
 
-class TraceRecorder {
-    private nextCall = 1;
+class TraceGenerator {
+    private nextCallNumber = 1;
 
     constructor(private readonly plan: TracePlan, private readonly random: Random) {}
 
-    recordTraffic(traffic: ChatTraffic | ServiceTraffic): TraceRequest[] {
-        const record = (): TraceRequest =>
-            traffic.kind === "chat" ? this.recordChat(traffic) : this.recordCall(traffic);
-        return Array.from({ length: traffic.count }, record);
+    generateRequests(traffic: ChatTraffic | ServiceTraffic): TraceRequest[] {
+        const generate = (): TraceRequest =>
+            traffic.kind === "chat" ? this.generateChat(traffic) : this.generateCall(traffic);
+        return Array.from({ length: traffic.count }, generate);
     }
 
-    private recordChat(traffic: ChatTraffic): TraceRequest {
+    private generateChat(traffic: ChatTraffic): TraceRequest {
         const { random } = this;
         const workspace = this.pickWorkspace(traffic.workspaces);
         const tokens = random.integer(traffic.leastTokens, traffic.mostTokens + 1);
-        const text = random.pick(traffic.prompts).replace(/#/g, () => String(random.integer(1, HIGHEST_NUMBER)));
-        const isLeaving = random.next() < traffic.leavingShare;
+        const text = random.pick(traffic.prompts).replace(/#/g, () => String(random.integer(1, PROMPT_NUMBER_LIMIT)));
+        const leavesEarly = random.next() < traffic.leavingShare;
         return {
             at_ms: this.drawTime(traffic),
             workspace: workspace.name,
@@ -133,16 +136,16 @@
                 { role: "system", content: workspace.system },
                 { role: "user", content: `${text} [tokens=${tokens}]` },
             ],
-            max_tokens: traffic.mostTokens + SPARE_TOKENS,
+            max_tokens: traffic.mostTokens + MAX_TOKENS_MARGIN,
             tokens,
             stream: random.next() >= traffic.wholeShare,
-            ...(isLeaving ? { leave_after_ms: random.integer(EARLIEST_LEAVE_MS, LATEST_LEAVE_MS) } : {}),
+            ...(leavesEarly ? { leave_after_ms: random.integer(MIN_LEAVE_AFTER_MS, MAX_LEAVE_AFTER_MS) } : {}),
         };
     }
 
-    private recordCall(traffic: ServiceTraffic): TraceRequest {
+    private generateCall(traffic: ServiceTraffic): TraceRequest {
         const { random } = this;
-        const reference = `${this.plan.name}-${this.nextCall++}`;
+        const reference = `${this.plan.name}-${this.nextCallNumber++}`;
         return {
             at_ms: this.drawTime(traffic),
             workspace: this.pickWorkspace(traffic.workspaces).name,
@@ -157,19 +160,19 @@
 
     private pickWorkspace(names: readonly string[]): WorkspacePlan {
         const candidates = this.plan.workspaces.filter(({ name }) => names.length === 0 || names.includes(name));
-        let left = this.random.next() * candidates.reduce((sum, { part }) => sum + part, 0);
+        let remaining = this.random.next() * candidates.reduce((sum, { part }) => sum + part, 0);
         for (const candidate of candidates) {
-            left -= candidate.part;
-            if (left < 0) return candidate;
+            remaining -= candidate.part;
+            if (remaining < 0) return candidate;
         }
         return candidates[candidates.length - 1];
     }
 
-    /** A time from a triangular distribution: none at the start and the end, the most at the peak. */
+    /** Draws a time from a triangular distribution, whose density is zero at start and end and maximal at the peak. */
     private drawTime({ startMs, peakMs, endMs }: TrafficPlan): number {
         const uniform = this.random.next();
-        const rise = (peakMs - startMs) / (endMs - startMs);
-        const time = uniform < rise
+        const peakPosition = (peakMs - startMs) / (endMs - startMs);
+        const time = uniform < peakPosition
             ? startMs + Math.sqrt(uniform * (endMs - startMs) * (peakMs - startMs))
             : endMs - Math.sqrt((1 - uniform) * (endMs - startMs) * (endMs - peakMs));
         return Math.round(time);
--- a/src/load/main.ts
+++ b/src/load/main.ts
@@ -1,4 +1,4 @@
-/** The program `load`: records traces, and replays them against the system's caller addresses. */
+/** The program `load`: generates traces, replays them against the system's caller addresses, and measures engines. */
 import { cac } from "cac";
 import { basename, dirname } from "node:path";
 import * as z from "zod";
@@ -20,9 +20,9 @@
     EmulatorClient,
     formatReport,
     formatTrace,
+    generateTrace,
     measureEngines,
     parseTrace,
-    recordTrace,
     replayTrace,
     summarizeReplay,
     Trace,
@@ -33,7 +33,7 @@
 import { Progress } from "./progress/index.js";
 
 const EXIT_MISSED = 1;
-const EXIT_BAD_USE = 2;
+const EXIT_USAGE = 2;
 const DEFAULT_SEED = 20_261_202;
 const PLANS: readonly TracePlan[] = [UTILITY_MORNING, UTILITY_RECLAIM, CONSORTIUM_MIDDAY, CONSORTIUM_FAULTS];
 
@@ -59,21 +59,21 @@
 });
 const keysSchema = z.record(z.string(), z.string());
 
-/** A file name split into its folder, as a disk, and its name there. */
-interface FilePlace {
+/** A file path split into its folder, opened as a disk, and the file's name in it. */
+interface FileLocation {
     readonly disk: Disk;
     readonly name: string;
 }
 
-/** A use of the program that makes no sense; its message is the one line that the user gets. */
+/** An invalid command line or input file; its message is the one line printed to the user. */
 class UsageError extends Error {}
 
-function placeOf(path: string): FilePlace {
+function locateFile(path: string): FileLocation {
     return { disk: new FileDisk(dirname(path)), name: basename(path) };
 }
 
 async function readFile(path: string): Promise<string> {
-    const { disk, name } = placeOf(path);
+    const { disk, name } = locateFile(path);
     const bytes = await disk.read(name);
     if (!bytes) throw new UsageError(`${path}: no such file`);
     return Buffer.from(bytes).toString();
@@ -127,14 +127,14 @@
         retries: options.retries,
         chatResends: options.resendChats ? "always" : DEFAULT_CALLER.chatResends,
         applyFault: emulator && (action => emulator.apply(action)),
-    }, result => progress.note(result));
+    }, result => progress.record(result));
     progress.end();
     const report = summarizeReplay(trace, results, ports.clock.monotonic() - startedAt);
     const check = emulator && crossCheck(trace, results, await emulator.fetchRuns());
     console.log(options.json ? JSON.stringify({ ...report, check, results }) : formatReport(report, check));
-    const isBad = report.lost > 0 || report.doubled > 0
+    const hasViolation = report.lost > 0 || report.doubled > 0
         || (check !== undefined && check.untruthful.length + check.doubledCalls.length > 0);
-    process.exit(isBad || (options.bounds && report.missed.length > 0) ? EXIT_MISSED : 0);
+    process.exit(hasViolation || (options.bounds && report.missed.length > 0) ? EXIT_MISSED : 0);
 }
 
 async function measure(flags: unknown): Promise<void> {
@@ -158,8 +158,8 @@
 async function record(planName: string, path: string, flags: { readonly seed?: number; }): Promise<void> {
     const plan = PLANS.find(({ name }) => name === planName);
     if (!plan) throw new UsageError(`no plan ${planName}; there are ${PLANS.map(({ name }) => name).join(", ")}`);
-    const trace = recordTrace(plan, new SeededRandom(flags.seed ?? DEFAULT_SEED));
-    const { disk, name } = placeOf(path);
+    const trace = generateTrace(plan, new SeededRandom(flags.seed ?? DEFAULT_SEED));
+    const { disk, name } = locateFile(path);
     await disk.replace(name, Buffer.from(formatTrace(trace)));
 }
 
@@ -202,5 +202,5 @@
 
 main().catch((err: unknown) => {
     console.error(`load: ${(err as Error).message}`);
-    process.exit(EXIT_BAD_USE);
+    process.exit(EXIT_USAGE);
 });
--- a/src/load/traceTemplate/index.ts
+++ b/src/load/makeTraceTemplate/index.ts
@@ -1,13 +1,13 @@
 import { TemplateSpec } from "../../workspace/index.js";
 import { TraceHeader } from "../trace/index.js";
 
-/** The parameter by which each workspace of a trace gives its weight. */
+/** Template parameter with which each workspace of a trace sets its weight. */
 export const WEIGHT_PARAMETER = "weight";
 
 /**
- * The template that the workspaces of a trace are made from: its classes, and its services as non-repeatable.
+ * Makes the template for the workspaces of a trace, with the trace's classes and its services marked as non-repeatable.
  *
- * @param header - The trace's first line.
+ * @param header - Header of the trace.
  * @returns A template with the parameter `weight`.
  */
 export function makeTraceTemplate(header: TraceHeader): TemplateSpec {
--- a/src/load/measureEngine/index.ts
+++ b/src/load/measureEngines/index.ts
@@ -2,39 +2,40 @@
 import { expectedAnswer } from "../../emulator/index.js";
 import { Address, Clock, formatAddress, Http } from "../../ports/index.js";
 import { ENGINE_PATHS, STREAM_DONE } from "../../protocol/index.js";
-import { parseOrUndefined } from "../_lib/readError.js";
-import { readEvents } from "../eventStream/index.js";
-import { Spread, spreadOf } from "../spread/index.js";
+import { tryParseJson } from "../_lib/readError.js";
+import { computePercentiles, Percentiles } from "../computePercentiles/index.js";
+import { readEvents } from "../readEvents/index.js";
 
-/** How engines are measured on the direct path, without the system between. */
+/** Options of a measurement of engines on the direct path, without the router in between. */
 export interface MeasureConfig {
-    /** The engines; requests go to them in turn. */
+    /** Addresses of the engines; each concurrent sender uses one of them, assigned round robin. */
     readonly engines: readonly Address[];
     readonly model: string;
-    /** How many requests run at a time, on all engines together. */
+    /** Number of concurrent requests over all engines together. */
     readonly concurrency: number;
-    /** How many requests each of them sends, one after the other. */
+    /** Number of requests that each concurrent sender sends in sequence. */
     readonly rounds: number;
-    /** Length of each answer. */
+    /** Length of each answer, in tokens. */
     readonly tokens: number;
     /** Length of each prompt, in characters. */
     readonly promptCharacters: number;
 }
 
-/** What engines gave on the direct path. */
+/** Measured performance of engines on the direct path. */
 export interface Measurement {
     readonly tokensPerSecond: number;
-    readonly firstToken: Spread;
-    /** Mean time between the tokens of one stream, over streams, in milliseconds. */
-    readonly tokenGap: Spread;
-    /** Answers that were not whole. */
+    /** Time to the first token, in milliseconds. */
+    readonly firstToken: Percentiles;
+    /** Distribution over streams of the mean time between tokens, in milliseconds. */
+    readonly tokenGap: Percentiles;
+    /** Number of answers that were incomplete or wrong. */
     readonly broken: number;
 }
 
-interface StreamTimes {
-    readonly firstMs: number;
-    readonly gapMs: number;
-    readonly isWhole: boolean;
+interface StreamResult {
+    readonly firstTokenMs: number;
+    readonly meanGapMs: number;
+    readonly isComplete: boolean;
 }
 
 const TIMEOUT_MS = 60_000;
@@ -44,39 +45,39 @@
 });
 
 /**
- * Measures engines under a steady number of requests.
+ * Measures engines under a constant number of concurrent requests.
  *
- * @param http - How to reach them.
- * @param clock - What the times are read from.
- * @param cfg - How they are loaded.
+ * @param http - HTTP port for the requests.
+ * @param clock - Clock for the measured times.
+ * @param cfg - Options of the measurement.
  */
 export async function measureEngines(http: Http, clock: Clock, cfg: MeasureConfig): Promise<Measurement> {
     const startedAt = clock.monotonic();
-    const runOne = async (worker: number): Promise<StreamTimes[]> => {
-        const times: StreamTimes[] = [];
+    const runWorker = async (worker: number): Promise<StreamResult[]> => {
+        const results: StreamResult[] = [];
         for (let round = 0; round < cfg.rounds; round++) {
-            times.push(await streamOnce(http, clock, cfg, `w${worker}-${round}`, worker));
+            results.push(await measureStream(http, clock, cfg, `w${worker}-${round}`, worker));
         }
-        return times;
+        return results;
     };
-    const workers = Array.from({ length: cfg.concurrency }, (_, worker) => runOne(worker));
+    const workers = Array.from({ length: cfg.concurrency }, (_, worker) => runWorker(worker));
     const streams = (await Promise.all(workers)).flat();
     const seconds = (clock.monotonic() - startedAt) / MS_PER_SECOND;
     return {
         tokensPerSecond: streams.length * cfg.tokens / seconds,
-        firstToken: spreadOf(streams.map(stream => stream.firstMs)),
-        tokenGap: spreadOf(streams.map(stream => stream.gapMs)),
-        broken: streams.filter(stream => !stream.isWhole).length,
+        firstToken: computePercentiles(streams.map(stream => stream.firstTokenMs)),
+        tokenGap: computePercentiles(streams.map(stream => stream.meanGapMs)),
+        broken: streams.filter(stream => !stream.isComplete).length,
     };
 }
 
-async function streamOnce(
+async function measureStream(
     http: Http,
     clock: Clock,
     cfg: MeasureConfig,
     id: string,
     worker: number,
-): Promise<StreamTimes> {
+): Promise<StreamResult> {
     const address = cfg.engines[worker % cfg.engines.length];
     const text = `${id} `.padEnd(cfg.promptCharacters, "x");
     const messages = [{ role: "user", content: `${text} [tokens=${cfg.tokens}]` }];
@@ -99,24 +100,24 @@
         connectTimeoutMs: TIMEOUT_MS,
         headTimeoutMs: TIMEOUT_MS,
     });
-    if (sent.isLeft()) return { firstMs: 0, gapMs: 0, isWhole: false };
-    let firstAt: number | undefined;
+    if (sent.isLeft()) return { firstTokenMs: 0, meanGapMs: 0, isComplete: false };
+    let firstTokenAt: number | undefined;
     let answer = "";
     let isDone = false;
     for await (const data of readEvents(sent.unsafeCoerce().body)) {
         if (data === STREAM_DONE) isDone = true;
         else answer += readContent(data);
-        firstAt ??= clock.monotonic();
+        firstTokenAt ??= clock.monotonic();
     }
-    const firstMs = (firstAt ?? startedAt) - startedAt;
+    const firstTokenMs = (firstTokenAt ?? startedAt) - startedAt;
     return {
-        firstMs,
-        gapMs: (clock.monotonic() - startedAt - firstMs) / Math.max(1, cfg.tokens - 1),
-        isWhole: isDone && answer === expectedAnswer(messages, cfg.tokens),
+        firstTokenMs,
+        meanGapMs: (clock.monotonic() - startedAt - firstTokenMs) / Math.max(1, cfg.tokens - 1),
+        isComplete: isDone && answer === expectedAnswer(messages, cfg.tokens),
     };
 }
 
 function readContent(data: string): string {
-    const chunk = chunkSchema.safeParse(parseOrUndefined(data));
+    const chunk = chunkSchema.safeParse(tryParseJson(data));
     return chunk.success ? chunk.data.choices[0]?.delta.content ?? "" : "";
 }
--- a/src/load/outcome/index.ts
+++ b/src/load/outcome/index.ts
@@ -1,51 +1,51 @@
 import { Outcome } from "../../protocol/index.js";
 
 /**
- * What a replayed request came to, as its caller sees it.
- * - `answered`: the answer is whole, checked against what it must be.
- * - `refused`: not run, and told so.
- * - `failed`: told that it ran in part, or may have run.
- * - `left`: the caller went away, as the trace says.
- * - `lost`: no truthful last word: cut off, silent, or a wrong answer.
- * - `doubled`: it ran more than once, or a token came twice.
+ * Result of a replayed request, as its caller sees it.
+ * - `answered`: the answer is complete and equals the expected one.
+ * - `refused`: the system reported that the request was not run.
+ * - `failed`: the system reported that the request ran in part or may have run, or the upstream itself answered with an error.
+ * - `left`: the caller disconnected, as the trace specifies.
+ * - `lost`: no truthful final answer: the connection broke, nothing arrived in time, or the answer was wrong.
+ * - `doubled`: the request ran more than once, or a token arrived twice.
  */
 export type Verdict = "answered" | "refused" | "failed" | "left" | "lost" | "doubled";
 
-/** What one attempt came to. */
-export interface Attempt {
+/** Result of one attempt to send a request. */
+export interface AttemptResult {
     readonly verdict: Verdict;
-    /** A word for programs: the error's type, or what was lost. */
+    /** Machine-readable reason: the type of the error, or the cause of the loss. */
     readonly reason?: string;
-    /** What the answer says of itself. */
-    readonly stated?: Outcome;
-    /** When to come back, in milliseconds. */
+    /** Outcome that the error reports. */
+    readonly reportedOutcome?: Outcome;
+    /** Delay after which the system asks to retry, in milliseconds. */
     readonly retryAfterMs?: number;
-    /** The connection was refused, so that another address may be tried. */
+    /** Whether the request never left the caller, as when the connection is refused, so that another address may be tried. */
     readonly isUnreachable?: boolean;
-    /** When each token came, in milliseconds on the monotonic clock; for a service, when its answer came. */
+    /** Arrival time of each token, or of a service's answer, in milliseconds on the monotonic clock. */
     readonly tokenTimes: readonly number[];
-    /** The request's id, where the answer gave one. */
+    /** Id of the request, if the response contains one. */
     readonly request?: string;
 }
 
-/** What a request came to, all attempts together. */
+/** Result of a request over all attempts. */
 export interface RequestResult {
     readonly workspace: string;
     readonly className: string;
     readonly kind: "chat" | "service";
-    /** The answer comes token for token; else as one body. */
+    /** Whether the answer is streamed; otherwise it is a single body. */
     readonly isStreamed: boolean;
     readonly verdict: Verdict;
     readonly reason?: string;
     readonly request?: string;
     readonly attempts: number;
-    /** From the first attempt to the first token or the one body, in milliseconds; undefined when none came. */
+    /** Time from the first attempt to the first token or the single body, in milliseconds; undefined when none arrived. */
     readonly firstTokenMs?: number;
-    /** Mean time between tokens, in milliseconds; undefined below two tokens. */
+    /** Mean time between tokens of a stream, in milliseconds; undefined with fewer than two tokens. */
     readonly tokenMs?: number;
-    /** The longest time between two tokens, in milliseconds. */
+    /** Longest time between two tokens of a stream, in milliseconds. */
     readonly longestGapMs?: number;
-    /** From the first attempt to the end, in milliseconds. */
+    /** Time from the first attempt to the end of the last one, in milliseconds. */
     readonly totalMs: number;
     readonly tokens: number;
 }
--- a/src/load/progress/index.ts
+++ b/src/load/progress/index.ts
@@ -1,41 +1,41 @@
 import { Clock } from "../../ports/index.js";
 import { RequestResult } from "../outcome/index.js";
 
-/** Takes the text that goes to the terminal. */
+/** Writes text to the terminal. */
 export type LineWriter = (text: string) => void;
 
-const LEAST_PAUSE_MS = 200;
+const MIN_WRITE_INTERVAL_MS = 200;
 
-/** A line that shows how far a replay has come. */
+/** Progress line of a replay, rewritten in place. */
 export class Progress {
     private ended = 0;
-    private bad = 0;
-    private lastAt = Number.NEGATIVE_INFINITY;
+    private lostOrDoubled = 0;
+    private lastWriteAt = Number.NEGATIVE_INFINITY;
 
     /**
-     * @param clock - So that the line is not written too often.
-     * @param total - How many requests there are.
-     * @param write - Where the line goes.
+     * @param clock - Clock that limits how often the line is written.
+     * @param total - Number of requests of the replay.
+     * @param write - Writes the line.
      */
     constructor(private readonly clock: Clock, private readonly total: number, private readonly write: LineWriter) {}
 
-    /** Counts a request that has its last word. */
-    note({ verdict }: RequestResult): void {
+    /** Counts a request that has ended. */
+    record({ verdict }: RequestResult): void {
         this.ended++;
-        if (verdict === "lost" || verdict === "doubled") this.bad++;
+        if (verdict === "lost" || verdict === "doubled") this.lostOrDoubled++;
         const now = this.clock.monotonic();
-        if (now - this.lastAt < LEAST_PAUSE_MS) return;
-        this.lastAt = now;
-        this.show();
+        if (now - this.lastWriteAt < MIN_WRITE_INTERVAL_MS) return;
+        this.lastWriteAt = now;
+        this.writeLine();
     }
 
-    /** Shows the last state and ends the line. */
+    /** Writes the final state and a line break. */
     end(): void {
-        this.show();
+        this.writeLine();
         this.write("\n");
     }
 
-    private show(): void {
-        this.write(`\r${this.ended}/${this.total} requests ended, ${this.bad} lost or doubled`);
+    private writeLine(): void {
+        this.write(`\r${this.ended}/${this.total} requests ended, ${this.lostOrDoubled} lost or doubled`);
     }
 }
--- a/src/load/eventStream/index.ts
+++ b/src/load/readEvents/index.ts
@@ -1,15 +1,15 @@
-/** How long a line of an event stream may get, in characters. */
-const LONGEST_EVENT = 1_048_576;
+/** Maximum length of an incomplete event, in characters. */
+const MAX_EVENT_CHARACTERS = 1_048_576;
 
-/** An event stream that is not one. */
+/** An invalid event stream. */
 export class EventStreamError extends Error {}
 
 /**
- * Splits server-sent events off a body.
+ * Parses server-sent events from a response body.
  *
- * @param body - The answer's bytes.
- * @returns The data of each event.
- * @throws EventStreamError when an event grows without end; what the body throws goes through.
+ * @param body - Bytes of the body.
+ * @returns The data of each complete event.
+ * @throws EventStreamError when an event exceeds the maximum length. Errors of the body are passed on.
  * @example
  * for await (const data of readEvents(reply.body)) handle(data);
  */
@@ -20,15 +20,15 @@
         rest += decoder.decode(bytes, { stream: true });
         const events = rest.split(/\r?\n\r?\n/);
         rest = events.pop()!;
-        if (rest.length > LONGEST_EVENT) throw new EventStreamError("an event without end");
+        if (rest.length > MAX_EVENT_CHARACTERS) throw new EventStreamError("an event without end");
         for (const event of events) {
-            const data = readData(event);
+            const data = parseData(event);
             if (data !== undefined) yield data;
         }
     }
 }
 
-function readData(event: string): string | undefined {
+function parseData(event: string): string | undefined {
     const lines = event.split(/\r?\n/).filter(line => line.startsWith("data:"));
     return lines.length === 0 ? undefined : lines.map(line => line.replace(/^data: ?/, "")).join("\n");
 }
--- a/src/load/eventStream/test.ts
+++ b/src/load/readEvents/test.ts
@@ -14,21 +14,21 @@
 }
 
 describe("readEvents", () => {
-    it("gives the same events however the bytes are cut, also within a character", async () => {
+    it("returns the same events however the bytes are split, even within a character", async () => {
         const text = "data: {\"a\":\"kæfa\"}\n\n: comment\n\ndata: one\ndata: two\n\ndata: [DONE]\n\n";
         const expected = ["{\"a\":\"kæfa\"}", "one\ntwo", "[DONE]"];
         for (let size = 1; size <= text.length; size++) assert.deepEqual(await collect(text, size), expected);
     });
 
-    it("takes carriage returns", async () => {
+    it("accepts carriage returns", async () => {
         assert.deepEqual(await collect("data: a\r\n\r\ndata:b\r\n\r\n", 100), ["a", "b"]);
     });
 
-    it("gives no event that was cut off", async () => {
+    it("ignores a truncated event", async () => {
         assert.deepEqual(await collect("data: a\n\ndata: b\n", 3), ["a"]);
     });
 
-    it("stops at an event without end", async () => {
+    it("rejects an event that exceeds the maximum length", async () => {
         await assert.rejects(collect(`data: ${"x".repeat(2_000_000)}`, 65_536), EventStreamError);
     });
 });
--- a/src/load/replay/index.ts
+++ b/src/load/replayTrace/index.ts
@@ -3,34 +3,34 @@
 import { RequestResult } from "../outcome/index.js";
 import { Trace, TraceFault, TraceRequest } from "../trace/index.js";
 
-/** How a trace is replayed. */
+/** Options of a replay. */
 export interface ReplayConfig extends CallerConfig {
-    /** The key of each workspace that the trace names. */
+    /** API keys by workspace name, for each workspace in the trace's header. */
     readonly keys: ReadonlyMap<string, string>;
-    /** Times in the trace are divided by this. */
+    /** Factor by which the times in the trace are divided. */
     readonly speed: number;
-    /** Brings about the trace's faults. */
+    /** Injects the trace's faults; required when it has any. */
     readonly applyFault?: FaultApplier;
 }
 
-/** Does one thing to the stand-ins. */
+/** Applies a fault action to the emulated upstreams. */
 export type FaultApplier = (action: ControlAction) => Promise<void>;
 
 /** A trace that can't be replayed. */
 export class ReplayError extends Error {}
 
-/** Told of each request's end. */
+/** Called with the result of each request when it ends. */
 export type ResultListener = (result: RequestResult) => void;
 
 /**
- * Replays a trace: each request leaves, and each fault comes, at its own time, whatever became of those before.
+ * Replays a trace in open loop: each request is sent and each fault injected at its own time, regardless of earlier results.
  *
- * @param ports - What the callers run on.
- * @param trace - The trace.
- * @param cfg - How it is replayed.
- * @param listener - Told of each request's end.
- * @returns What the requests came to, in the order of the trace.
- * @throws ReplayError when a workspace has no key, or a trace with faults nobody to bring them about.
+ * @param ports - Ports that the callers use.
+ * @param trace - Trace to replay.
+ * @param cfg - Options of the replay.
+ * @param listener - Called with the result of each request when it ends.
+ * @returns The results of the requests, in the order of the trace.
+ * @throws ReplayError when a workspace has no key, or the trace has faults and `applyFault` is missing.
  * @example
  * const results = await replayTrace(ports, trace, { ...DEFAULT_CALLER, addresses, keys, speed: 1 });
  */
@@ -51,19 +51,19 @@
     const startedAt = ports.clock.monotonic();
     const waitUntil = (atMs: number): Promise<void> =>
         ports.clock.sleep(startedAt + atMs / cfg.speed - ports.clock.monotonic());
-    const breakOne = async ({ at_ms, action }: TraceFault): Promise<void> => {
+    const injectFault = async ({ at_ms, action }: TraceFault): Promise<void> => {
         await waitUntil(at_ms);
         await applyFault?.(action);
     };
-    const runOne = async (request: TraceRequest): Promise<RequestResult> => {
+    const sendRequest = async (request: TraceRequest): Promise<RequestResult> => {
         await waitUntil(request.at_ms);
         const result = await caller.run(request, cfg.keys.get(request.workspace)!);
         listener(result);
         return result;
     };
     const [results] = await Promise.all([
-        Promise.all(trace.requests.map(runOne)),
-        Promise.all(trace.faults.map(breakOne)),
+        Promise.all(trace.requests.map(sendRequest)),
+        Promise.all(trace.faults.map(injectFault)),
     ]);
     return results;
 }
--- a/src/load/replay/test.ts
+++ b/src/load/replayTrace/test.ts
@@ -3,11 +3,11 @@
 import { ControlAction } from "../../emulator/index.js";
 import { MemoryFabric, MemoryWeb, SeededRandom, VirtualClock } from "../../ports/index.js";
 import { DEFAULT_CALLER } from "../caller/index.js";
-import { recordTrace } from "../recordTrace/index.js";
+import { generateTrace } from "../generateTrace/index.js";
 import { UTILITY_MORNING, UTILITY_RECLAIM } from "../utilityPlan/index.js";
 import { ReplayConfig, ReplayError, replayTrace } from "./index.js";
 
-const TRACE = recordTrace(UTILITY_MORNING, new SeededRandom(1));
+const TRACE = generateTrace(UTILITY_MORNING, new SeededRandom(1));
 const ADDRESS = { host: "entry", port: 1 };
 const KEYS = new Map(TRACE.header.workspaces.map(({ name }) => [name, `key of ${name}`]));
 const CONFIG: ReplayConfig = { ...DEFAULT_CALLER, addresses: [ADDRESS], keys: KEYS, speed: 2 };
@@ -28,7 +28,7 @@
 }
 
 describe("replayTrace", () => {
-    it("sends each request at its time over the speed, by its workspace's key, and gives all outcomes in order", async () => {
+    it("sends each request at its time divided by the speed, with its workspace's key, and returns all results in order", async () => {
         const { clock, times, keys, ports } = await startRefusingEntry();
         const results = await clock.runUntil(replayTrace(ports, TRACE, CONFIG), 60_000);
         assert.deepEqual(times, TRACE.requests.map(request => request.at_ms / 2));
@@ -37,9 +37,9 @@
         assert.ok(results.every(({ verdict, reason }) => verdict === "refused" && reason === "shed"));
     });
 
-    it("brings about each fault at its time over the speed", async () => {
+    it("injects each fault at its time divided by the speed", async () => {
         const { clock, ports } = await startRefusingEntry();
-        const trace = recordTrace(UTILITY_RECLAIM, new SeededRandom(1));
+        const trace = generateTrace(UTILITY_RECLAIM, new SeededRandom(1));
         const applied: string[] = [];
         const applyFault = async ({ action }: ControlAction): Promise<void> => {
             applied.push(`${action} at ${clock.monotonic()}`);
@@ -49,7 +49,7 @@
         await assert.rejects(replayTrace(ports, trace, CONFIG), ReplayError);
     });
 
-    it("says which workspace has no key", async () => {
+    it("names the workspace that has no key", async () => {
         const { ports } = await startRefusingEntry();
         const replay = replayTrace(ports, TRACE, { ...CONFIG, keys: new Map() });
         await assert.rejects(replay, (err: Error) => err instanceof ReplayError && /ordering-desk/.test(err.message));
--- a/src/load/attainment/index.ts
+++ b/src/load/summarizeReplay/index.ts
@@ -1,25 +1,27 @@
+import { computePercentiles, Percentiles } from "../computePercentiles/index.js";
 import { RequestResult, Verdict } from "../outcome/index.js";
-import { Spread, spreadOf } from "../spread/index.js";
 import { Trace, TraceClass } from "../trace/index.js";
 
-/** How many requests came to what. */
+/** Number of requests by verdict. */
 export type VerdictCounts = Readonly<Record<Verdict, number>>;
 
-/** What one class's or one workspace's requests came to. */
+/** Results of the requests of one class or one workspace; times in milliseconds. */
 export interface GroupReport {
     readonly name: string;
     readonly sent: number;
     readonly verdicts: VerdictCounts;
-    /** The share of requests answered whole within target; those whose callers left do not count. */
+    /** Share of requests answered completely within target; requests whose callers left are not counted. */
     readonly attainment: number;
-    /** Of streams and service calls; an answer in one body has no first token of its own. */
-    readonly firstToken: Spread;
-    readonly tokenGap: Spread;
-    readonly total: Spread;
+    /** Time to the first token of streams and to the answer of service calls; a non-streamed chat answer has no first token. */
+    readonly firstToken: Percentiles;
+    /** Mean time between the tokens of a stream. */
+    readonly tokenGap: Percentiles;
+    /** Time to the complete answer, of answered requests. */
+    readonly total: Percentiles;
     readonly tokens: number;
 }
 
-/** What a replay came to. */
+/** Results of a replay. */
 export interface ReplayReport {
     readonly trace: string;
     readonly sent: number;
@@ -29,18 +31,19 @@
     readonly left: number;
     readonly lost: number;
     readonly doubled: number;
-    /** Attempts beyond the first of each request. */
+    /** Number of attempts beyond the first of each request. */
     readonly repeats: number;
-    /** From the first request to the last word, in milliseconds. */
+    /** Time from the start of the replay to the end of the last request, in milliseconds. */
     readonly durationMs: number;
-    /** Tokens, and requests, a second that were answered within target. */
+    /** Tokens per second of the requests answered within target. */
     readonly goodputTokens: number;
+    /** Requests per second answered within target. */
     readonly goodputRequests: number;
     readonly classes: readonly GroupReport[];
     readonly workspaces: readonly GroupReport[];
-    /** How many requests were refused, failed or lost for what reason. */
+    /** Number of requests that were not answered, by verdict and reason. */
     readonly reasons: Readonly<Record<string, number>>;
-    /** What the trace's header demands and the replay did not meet, in words. */
+    /** Descriptions of the bounds in the trace's header that the replay did not meet. */
     readonly missed: readonly string[];
 }
 
@@ -48,11 +51,11 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Whether an answer came whole and within its class's targets. One that comes as a single body has the time that a
- * stream within both targets would take.
+ * Whether a request was answered completely and within the targets of its class. A non-streamed answer may take as long as
+ * a stream that just meets both targets.
  *
- * @param result - What a request came to.
- * @param target - Its class.
+ * @param result - Result of the request.
+ * @param target - Class of the request.
  */
 export function isWithinTarget(result: RequestResult, target: TraceClass): boolean {
     if (result.verdict !== "answered" || result.firstTokenMs === undefined) return false;
@@ -64,60 +67,62 @@
 }
 
 /**
- * Sums a replay up and holds it against the trace's bounds.
+ * Summarizes the results of a replay and compares them with the trace's bounds.
  *
- * @param trace - What was replayed.
- * @param results - What the requests came to.
- * @param durationMs - How long it took, in milliseconds.
+ * @param trace - Trace that was replayed.
+ * @param results - Results of the requests.
+ * @param durationMs - Duration of the replay, in milliseconds.
  */
 export function summarizeReplay(trace: Trace, results: readonly RequestResult[], durationMs: number): ReplayReport {
     const targets = new Map(trace.header.classes.map(target => [target.name, target]));
-    const isGood = (result: RequestResult): boolean => isWithinTarget(result, targets.get(result.className)!);
-    const good = results.filter(isGood);
+    const isAttained = (result: RequestResult): boolean => isWithinTarget(result, targets.get(result.className)!);
+    const attained = results.filter(isAttained);
     const counts = countVerdicts(results);
     const seconds = Math.max(durationMs, 1) / MS_PER_SECOND;
-    const classes = groupBy(results, result => result.className, isGood);
-    const workspaces = groupBy(results, result => result.workspace, isGood);
+    const classes = summarizeGroups(results, result => result.className, isAttained);
+    const workspaces = summarizeGroups(results, result => result.workspace, isAttained);
     return {
         trace: trace.header.name,
         sent: results.length,
         ...counts,
         repeats: results.reduce((sum, result) => sum + result.attempts - 1, 0),
         durationMs,
-        goodputTokens: good.reduce((sum, result) => sum + result.tokens, 0) / seconds,
-        goodputRequests: good.length / seconds,
+        goodputTokens: attained.reduce((sum, result) => sum + result.tokens, 0) / seconds,
+        goodputRequests: attained.length / seconds,
         classes,
         workspaces,
         reasons: countReasons(results),
-        missed: findMissed(trace, counts, classes, workspaces),
+        missed: findMissedBounds(trace, counts, classes, workspaces),
     };
 }
 
-function groupBy(
+function summarizeGroups(
     results: readonly RequestResult[],
     nameOf: (result: RequestResult) => string,
-    isGood: (result: RequestResult) => boolean,
+    isAttained: (result: RequestResult) => boolean,
 ): GroupReport[] {
     const names = [...new Set(results.map(nameOf))].sort();
-    return names.map(name => summarizeGroup(name, results.filter(result => nameOf(result) === name), isGood));
+    return names.map(name => summarizeGroup(name, results.filter(result => nameOf(result) === name), isAttained));
 }
 
 function summarizeGroup(
     name: string,
     results: readonly RequestResult[],
-    isGood: (result: RequestResult) => boolean,
+    isAttained: (result: RequestResult) => boolean,
 ): GroupReport {
-    const counted = results.filter(result => result.verdict !== "left");
+    const eligible = results.filter(result => result.verdict !== "left");
     return {
         name,
         sent: results.length,
         verdicts: countVerdicts(results),
-        attainment: counted.length === 0 ? 1 : counted.filter(isGood).length / counted.length,
-        firstToken: spreadOf(
+        attainment: eligible.length === 0 ? 1 : eligible.filter(isAttained).length / eligible.length,
+        firstToken: computePercentiles(
             results.filter(result => result.isStreamed || result.kind === "service").map(result => result.firstTokenMs),
         ),
-        tokenGap: spreadOf(results.map(result => result.tokenMs)),
-        total: spreadOf(results.filter(result => result.verdict === "answered").map(result => result.totalMs)),
+        tokenGap: computePercentiles(results.map(result => result.tokenMs)),
+        total: computePercentiles(
+            results.filter(result => result.verdict === "answered").map(result => result.totalMs),
+        ),
         tokens: results.reduce((sum, result) => sum + result.tokens, 0),
     };
 }
@@ -140,7 +145,7 @@
     return reasons;
 }
 
-function findMissed(
+function findMissedBounds(
     { header: { bounds } }: Trace,
     counts: VerdictCounts,
     classes: readonly GroupReport[],
@@ -150,8 +155,8 @@
     if (counts.lost > bounds.lost) missed.push(`lost ${counts.lost}, at most ${bounds.lost}`);
     if (counts.doubled > bounds.doubled) missed.push(`doubled ${counts.doubled}, at most ${bounds.doubled}`);
     for (const { name, attainment } of classes) {
-        const least = bounds.attainment[name] ?? 0;
-        if (attainment < least) missed.push(`class ${name}: attainment ${attainment.toFixed(3)}, at least ${least}`);
+        const bound = bounds.attainment[name] ?? 0;
+        if (attainment < bound) missed.push(`class ${name}: attainment ${attainment.toFixed(3)}, at least ${bound}`);
     }
     for (const { name, attainment } of workspaces) {
         if (attainment >= bounds.worst_workspace) continue;
--- a/src/load/attainment/test.ts
+++ b/src/load/summarizeReplay/test.ts
@@ -1,14 +1,14 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { SeededRandom } from "../../ports/index.js";
+import { formatReport } from "../formatReport/index.js";
+import { generateTrace } from "../generateTrace/index.js";
 import { RequestResult } from "../outcome/index.js";
-import { recordTrace } from "../recordTrace/index.js";
-import { formatReport } from "../report/index.js";
 import { UTILITY_MORNING } from "../utilityPlan/index.js";
 import { summarizeReplay } from "./index.js";
 
-const TRACE = recordTrace(UTILITY_MORNING, new SeededRandom(1));
-const GOOD: RequestResult = {
+const TRACE = generateTrace(UTILITY_MORNING, new SeededRandom(1));
+const ATTAINED: RequestResult = {
     workspace: "care-homes",
     className: "sheets",
     kind: "chat",
@@ -23,19 +23,19 @@
 };
 
 describe("summarizeReplay", () => {
-    it("counts as attained what came whole, and within both targets", () => {
+    it("counts a stream as attained when it is complete and within both targets", () => {
         const report = summarizeReplay(TRACE, [
-            GOOD,
-            { ...GOOD, firstTokenMs: 2_001 },
-            { ...GOOD, tokenMs: 81 },
-            { ...GOOD, verdict: "refused", firstTokenMs: undefined },
+            ATTAINED,
+            { ...ATTAINED, firstTokenMs: 2_001 },
+            { ...ATTAINED, tokenMs: 81 },
+            { ...ATTAINED, verdict: "refused", firstTokenMs: undefined },
         ], 10_000);
         assert.equal(report.classes[0].attainment, 0.25);
         assert.equal(report.goodputTokens, 10);
     });
 
-    it("gives an answer in one body the time that a stream within target would take", () => {
-        const whole = { ...GOOD, isStreamed: false, tokenMs: undefined };
+    it("allows a non-streamed answer the time of a stream that just meets both targets", () => {
+        const whole = { ...ATTAINED, isStreamed: false, tokenMs: undefined };
         const bound = 2_000 + 99 * 80;
         const report = summarizeReplay(TRACE, [
             { ...whole, firstTokenMs: bound },
@@ -44,14 +44,14 @@
         assert.equal(report.classes[0].attainment, 0.5);
     });
 
-    it("leaves out those whose callers went away", () => {
-        const report = summarizeReplay(TRACE, [GOOD, { ...GOOD, verdict: "left" }], 1_000);
+    it("excludes requests whose callers left from attainment", () => {
+        const report = summarizeReplay(TRACE, [ATTAINED, { ...ATTAINED, verdict: "left" }], 1_000);
         assert.equal(report.classes[0].attainment, 1);
     });
 
-    it("says which of the trace's bounds were missed, for classes and for the worst workspace", () => {
-        const lost: RequestResult = { ...GOOD, workspace: "smokehouse-hafnir", verdict: "lost", reason: "cut" };
-        const report = summarizeReplay(TRACE, [GOOD, lost], 1_000);
+    it("lists the missed bounds of the trace, for classes and for the worst workspace", () => {
+        const lost: RequestResult = { ...ATTAINED, workspace: "smokehouse-hafnir", verdict: "lost", reason: "cut" };
+        const report = summarizeReplay(TRACE, [ATTAINED, lost], 1_000);
         assert.deepEqual(report.missed, [
             "lost 1, at most 0",
             "class sheets: attainment 0.500, at least 0.95",
--- a/src/load/trace/index.ts
+++ b/src/load/trace/index.ts
@@ -1,50 +1,52 @@
-/** Recorded traces: JSON Lines, a header first, then one request a line. docs/TRACES.md describes the format. */
+/** Traces as JSON Lines: a header, then one request or fault per line. docs/TRACES.md describes the format. */
 import { Either, Left, Right } from "purify-ts";
 import * as z from "zod";
 import { controlActionSchema } from "../../emulator/index.js";
 
-/** The version of the format that is written and read. */
+/** Version of the trace format. */
 export const TRACE_VERSION = 1;
 
 const messageSchema = z.strictObject({ role: z.string(), content: z.string() });
 const shareSchema = z.number().min(0).max(1);
 
-/** A service class as the trace states it. */
+/** A service class in the trace's header. */
 export const traceClassSchema = z.strictObject({
     name: z.string().min(1),
     /** 0 is the highest. */
     tier: z.int().min(0),
-    /** Target to the first token, or to a service's answer, in milliseconds. */
+    /** Target time to the first token, or to a service's answer, in milliseconds. */
     first_token_ms: z.number().positive(),
     /** Target for the mean time between tokens, in milliseconds. */
     token_ms: z.number().positive(),
-    /** The longest wait before a refusal, in milliseconds. */
+    /** Maximum wait before the request is refused, in milliseconds. */
     max_wait_ms: z.number().positive(),
-    /** The share of capacity that the class may count on. */
+    /** Share of capacity guaranteed to the class, from 0 to 1. */
     guaranteed_share: shareSchema,
 });
 export type TraceClass = z.infer<typeof traceClassSchema>;
 
-/** A workspace as the trace states it. */
+/** A workspace in the trace's header. */
 export const traceWorkspaceSchema = z.strictObject({
     name: z.string().min(1),
-    /** Its weight beside the others of a tier. */
+    /** Weight relative to the other workspaces within a tier. */
     weight: z.number().positive(),
 });
 export type TraceWorkspace = z.infer<typeof traceWorkspaceSchema>;
 
-/** What must come out of a replay. */
+/** Bounds that the results of a replay must meet. */
 export const traceBoundsSchema = z.strictObject({
-    /** The least share of each class's requests that must be answered whole within target. */
+    /** Minimum share of requests answered completely within target, by class. */
     attainment: z.record(z.string(), shareSchema),
-    /** The least share of any one workspace's requests. */
+    /** Minimum of the same share for the workspace with the lowest one. */
     worst_workspace: shareSchema,
+    /** Maximum number of lost requests. */
     lost: z.int().min(0),
+    /** Maximum number of doubled requests. */
     doubled: z.int().min(0),
 });
 export type TraceBounds = z.infer<typeof traceBoundsSchema>;
 
-/** The first line. */
+/** First line of a trace. */
 export const traceHeaderSchema = z.strictObject({
     version: z.literal(TRACE_VERSION),
     name: z.string().min(1),
@@ -54,13 +56,13 @@
     classes: z.array(traceClassSchema).min(1),
     workspaces: z.array(traceWorkspaceSchema).min(1),
     bounds: traceBoundsSchema,
-    /** Settings of the emulator for which the bounds are stated, by the names of its flags. */
+    /** Emulator settings for which the bounds apply, by name in camelCase of the emulator's flag. */
     emulator: z.record(z.string(), z.union([z.string(), z.number(), z.boolean()])),
 });
 export type TraceHeader = z.infer<typeof traceHeaderSchema>;
 
 const commonFields = {
-    /** When it is sent, in milliseconds from the start of the replay. */
+    /** Time at which the line takes effect, in milliseconds from the start of the replay. */
     at_ms: z.number().min(0),
     workspace: z.string().min(1),
     class: z.string().min(1),
@@ -73,20 +75,20 @@
     model: z.string().min(1),
     messages: z.array(messageSchema).min(1),
     max_tokens: z.int().min(1),
-    /** How many tokens the whole answer has. */
+    /** Number of tokens of the complete answer. */
     tokens: z.int().min(1),
     stream: z.boolean().default(true),
-    /** The caller goes away after this many milliseconds. */
+    /** Time after which the caller disconnects, in milliseconds. */
     leave_after_ms: z.number().positive().optional(),
 });
 export type TraceChat = z.infer<typeof traceChatSchema>;
 
-/** A call of a plain service. */
+/** A call to a plain service, which is not a language-model engine. */
 export const traceServiceSchema = z.strictObject({
     ...commonFields,
     kind: z.literal("service"),
     service: z.string().min(1),
-    /** Below the service's root. */
+    /** Path relative to the service's root. */
     path: z.string().startsWith("/"),
     body: z.record(z.string(), z.unknown()),
     idempotency_key: z.string().min(1).max(200),
@@ -97,7 +99,7 @@
 export const traceRequestSchema = z.discriminatedUnion("kind", [traceChatSchema, traceServiceSchema]);
 export type TraceRequest = z.infer<typeof traceRequestSchema>;
 
-/** Something that goes wrong at a stand-in while the requests run. */
+/** A fault injected into the emulated upstreams during the replay. */
 export const traceFaultSchema = z.strictObject({
     at_ms: commonFields.at_ms,
     kind: z.literal("fault"),
@@ -108,19 +110,19 @@
 const traceLineSchema = z.discriminatedUnion("kind", [traceChatSchema, traceServiceSchema, traceFaultSchema]);
 type TraceLine = z.infer<typeof traceLineSchema>;
 
-/** A whole trace. */
+/** A parsed trace. */
 export interface Trace {
     readonly header: TraceHeader;
     readonly requests: readonly TraceRequest[];
     readonly faults: readonly TraceFault[];
 }
 
-/** A line of a trace that can't be read. */
+/** An invalid line of a trace. */
 export class TraceError extends Error {
     /**
-     * @param line - The line's number; the first has 1.
-     * @param field - The field's name; empty when the line as a whole is at fault.
-     * @param detail - What is wrong.
+     * @param line - Line number, counted from 1.
+     * @param field - Path of the invalid field; empty when the line as a whole is invalid.
+     * @param detail - Description of the fault.
      */
     constructor(readonly line: number, readonly field: string, detail: string) {
         super(`line ${line}${field === "" ? "" : `, ${field}`}: ${detail}`);
@@ -128,10 +130,10 @@
 }
 
 /**
- * Reads a trace.
+ * Parses a trace.
  *
- * @param text - The file's content.
- * @returns The trace, or the first line and field that are wrong.
+ * @param text - Content of the trace file.
+ * @returns The trace, or an error that names the first invalid line and field.
  * @example
  * parseTrace('{"version":1,...}\n{"at_ms":0,"kind":"chat",...}\n');
  */
@@ -139,7 +141,7 @@
     const lines = text.split("\n");
     if (lines[lines.length - 1] === "") lines.pop();
     return parseLine(lines[0] ?? "", 1, traceHeaderSchema).chain(header =>
-        Either.sequence(lines.slice(1).map((line, index) => parseFurtherLine(line, index + 2, header))).map(parsed => ({
+        Either.sequence(lines.slice(1).map((line, index) => parseEventLine(line, index + 2, header))).map(parsed => ({
             header,
             requests: parsed.filter(line => line.kind !== "fault"),
             faults: parsed.filter(line => line.kind === "fault"),
@@ -148,33 +150,33 @@
 }
 
 /**
- * Writes a trace.
+ * Formats a trace as JSON Lines, with requests and faults in the order of time.
  *
  * @example
  * formatTrace({ header, requests, faults: [] });
  */
 export function formatTrace({ header, requests, faults }: Trace): string {
-    const further = [...requests, ...faults].sort((a, b) => a.at_ms - b.at_ms);
-    return [header, ...further].map(line => `${JSON.stringify(line)}\n`).join("");
+    const events = [...requests, ...faults].sort((a, b) => a.at_ms - b.at_ms);
+    return [header, ...events].map(line => `${JSON.stringify(line)}\n`).join("");
 }
 
-function parseFurtherLine(text: string, line: number, header: TraceHeader): Either<TraceError, TraceLine> {
+function parseEventLine(text: string, line: number, header: TraceHeader): Either<TraceError, TraceLine> {
     return parseLine(text, line, traceLineSchema).chain<TraceError, TraceLine>(parsed =>
-        parsed.kind === "fault" ? Right(parsed) : checkNames(parsed, line, header)
+        parsed.kind === "fault" ? Right(parsed) : checkDeclared(parsed, line, header)
     );
 }
 
-/** What a request names must stand in the header. */
-function checkNames(request: TraceRequest, line: number, header: TraceHeader): Either<TraceError, TraceRequest> {
-    const unknown = (field: string, name: string): Either<TraceError, TraceRequest> =>
+/** Checks that the header declares the class, workspace, and model or service of a request. */
+function checkDeclared(request: TraceRequest, line: number, header: TraceHeader): Either<TraceError, TraceRequest> {
+    const reject = (field: string, name: string): Either<TraceError, TraceRequest> =>
         Left(new TraceError(line, field, `"${name}" is not in the header`));
-    if (!header.classes.some(({ name }) => name === request.class)) return unknown("class", request.class);
+    if (!header.classes.some(({ name }) => name === request.class)) return reject("class", request.class);
     if (!header.workspaces.some(({ name }) => name === request.workspace)) {
-        return unknown("workspace", request.workspace);
+        return reject("workspace", request.workspace);
     }
-    if (request.kind === "chat" && !header.models.includes(request.model)) return unknown("model", request.model);
+    if (request.kind === "chat" && !header.models.includes(request.model)) return reject("model", request.model);
     if (request.kind === "service" && !header.services.includes(request.service)) {
-        return unknown("service", request.service);
+        return reject("service", request.service);
     }
     return Right(request);
 }
--- a/src/load/utilityPlan/index.ts
+++ b/src/load/utilityPlan/index.ts
@@ -1,5 +1,5 @@
-import { NOTHING_LOST, STAND_IN_PACE } from "../_lib/planDefaults.js";
-import { TracePlan, WorkspacePlan } from "../recordTrace/index.js";
+import { EMULATOR_DEFAULTS, SAFETY_BOUNDS } from "../_lib/planDefaults.js";
+import { TracePlan, WorkspacePlan } from "../generateTrace/index.js";
 
 const MODEL = "drafting";
 const LEDGER = "ledger";
@@ -13,7 +13,7 @@
     return { name, part, weight, system };
 }
 
-/** A morning at the Utility: sheets are due before dawn, while orders and questions come in. */
+/** Trace plan of a district ordering service in the morning: a burst of cutting sheets while orders and questions arrive. */
 export const UTILITY_MORNING: TracePlan = {
     name: "utility-morning",
     zones: ["keflavik", "grindavik", "sandgerdi", "vogar"],
@@ -110,7 +110,7 @@
     bounds: {
         attainment: { sheets: 0.95, orders: 0.95, questions: 0.8, summaries: 0.8 },
         worst_workspace: 0.5,
-        ...NOTHING_LOST,
+        ...SAFETY_BOUNDS,
     },
     faults: [],
     emulator: {
@@ -119,13 +119,13 @@
         pool: MODEL,
         service: LEDGER,
         zones: "keflavik,grindavik,sandgerdi,vogar",
-        ...STAND_IN_PACE,
+        ...EMULATOR_DEFAULTS,
     },
 };
 
 /**
- * The same morning with two of four zones on reclaimable engines: one of them is taken back with three seconds' notice
- * just before the peak, and an engine elsewhere crashes.
+ * `UTILITY_MORNING` with reclaimable engines in two of the four zones: one of these zones is reclaimed with three seconds'
+ * notice just before the peak, and an engine in another zone crashes.
  */
 export const UTILITY_RECLAIM: TracePlan = {
     ...UTILITY_MORNING,
@@ -133,7 +133,7 @@
     bounds: {
         attainment: { sheets: 0.8, orders: 0.95, questions: 0.45, summaries: 0.2 },
         worst_workspace: 0.3,
-        ...NOTHING_LOST,
+        ...SAFETY_BOUNDS,
     },
     faults: [
         { atMs: 2_000, action: { action: "reclaim-zone", zone: "vogar", noticeMs: 3_000 } },
--- a/src/tools/demo/main.ts
+++ b/src/tools/demo/main.ts
@@ -88,7 +88,7 @@
         ports,
         trace,
         { ...DEFAULT_CALLER, addresses, keys, speed, applyFault: action => emulator.apply(action) },
-        result => progress.note(result),
+        result => progress.record(result),
     );
     progress.end();
     const report = summarizeReplay(trace, results, ports.clock.monotonic() - startedAt);
--- a/src/tools/processes/index.ts
+++ b/src/tools/processes/index.ts
@@ -5,9 +5,9 @@
 const DIST = join(dirname(fileURLToPath(import.meta.url)), "..", "..");
 
 /** Running child processes. They are killed when the launcher exits: a crashed launcher would leave its fleet running. */
-const running = new Set<ChildProcess>();
+const runningChildren = new Set<ChildProcess>();
 process.once("exit", () => {
-    for (const child of running) child.kill("SIGKILL");
+    for (const child of runningChildren) child.kill("SIGKILL");
 });
 
 /** Exit status of a program. */
@@ -27,7 +27,7 @@
     private readonly child: ChildProcess;
     private stdoutText = "";
     private stderrText = "";
-    private runningChildren = true;
+    private isAlive = true;
     private areStreamsClosed = false;
 
     /**
@@ -36,12 +36,12 @@
      */
     constructor(script: string, args: readonly string[]) {
         this.child = spawn(process.execPath, [join(DIST, script), ...args], { stdio: ["ignore", "pipe", "pipe"] });
-        running.add(this.child);
-        this.child.once("exit", () => running.delete(this.child));
+        runningChildren.add(this.child);
+        this.child.once("exit", () => runningChildren.delete(this.child));
         this.child.stdout!.on("data", chunk => this.stdoutText += chunk);
         this.child.stderr!.on("data", chunk => this.stderrText += chunk);
         this.exited = new Promise(resolve => {
-            this.child.once("exit", () => this.runningChildren = false);
+            this.child.once("exit", () => this.isAlive = false);
             // Its last lines may still be in the pipes at "exit"; only "close" guarantees that they have been read.
             this.child.once("close", (code, signal) => {
                 this.areStreamsClosed = true;
@@ -55,7 +55,7 @@
     }
 
     get isRunning(): boolean {
-        return this.runningChildren;
+        return this.isAlive;
     }
 
     /** Text written to standard output so far. */
@@ -70,7 +70,7 @@
 
     /** Sends a signal, such as SIGTERM, SIGKILL, SIGSTOP or SIGCONT, if the program is still running. */
     signal(name: NodeJS.Signals): void {
-        if (this.runningChildren) this.child.kill(name);
+        if (this.isAlive) this.child.kill(name);
     }
 
     /** Kills the program and waits for its exit. */
