--- a/src/load/computePercentiles/index.ts
+++ b/src/load/computePercentiles/index.ts
@@ -13,9 +13,9 @@
 /**
  * Computes the percentiles of durations.
  *
- * @param values - Durations in milliseconds; undefined ones are ignored.
+ * @param values - In milliseconds; undefined ones are left out.
  * @example
- * spreadOf([1.5, 2, undefined, 30]).max; // 30
+ * computePercentiles([1.5, 2, undefined, 30]).max; // 30
  */
 export function computePercentiles(values: readonly (number | undefined)[]): Percentiles {
     const table = new HistogramTable(1);
--- a/src/load/generateTrace/index.ts
+++ b/src/load/generateTrace/index.ts
@@ -86,7 +86,7 @@
  * @param random - Seeded random source, so that the trace is reproducible.
  * @returns The trace, with requests and faults in the order of time.
  * @example
- * recordTrace(UTILITY_MORNING, new SeededRandom(1));
+ * generateTrace(UTILITY_MORNING, new SeededRandom(1));
  */
 export function generateTrace(plan: TracePlan, random: Random): Trace {
     const generator = new TraceGenerator(plan, random);
--- a/src/load/trace/test.ts
+++ b/src/load/trace/test.ts
@@ -23,7 +23,7 @@
 }
 
 describe("trace", () => {
-    describe("recordTrace", () => {
+    describe("generateTrace", () => {
         for (const plan of [UTILITY_MORNING, CONSORTIUM_MIDDAY, CONSORTIUM_FAULTS]) {
             it(`generates the same ${plan.name} from the same seed, in the order of time`, () => {
                 const trace = generateTrace(plan, new SeededRandom(5));
--- a/src/tools/account/parseCalls/index.ts
+++ b/src/tools/account/parseCalls/index.ts
@@ -49,7 +49,7 @@
  * Parses the ended calls from lines of entries' logs. Skips other lines, and any text before a line's JSON.
  *
  * @example
- * const calls = readCalls(text.split("\n"));
+ * const calls = parseCalls(text.split("\n"));
  */
 export function parseCalls(lines: Iterable<string>): LoggedCall[] {
     const calls: LoggedCall[] = [];
--- a/src/tools/cutRelay/index.ts
+++ b/src/tools/cutRelay/index.ts
@@ -4,8 +4,8 @@
  * A TCP relay on loopback that simulates network partitions in failure tests with real processes.
  *
  * @example
- * const relay = await CutRelay.start(7001);
- * relay.cut();
+ * const relay = await PartitionRelay.start(7001);
+ * relay.partition();
  */
 export class PartitionRelay {
     private readonly socketPairs = new Set<readonly [Socket, Socket]>();
--- a/src/tools/fleet/index.ts
+++ b/src/tools/fleet/index.ts
@@ -119,12 +119,14 @@
         return this.emulatorListeners.control;
     }
 
+    /** Starts the entry process with this number, counted from 0; also after it has ended. */
     startEntry(number: number): Program {
         const program = new Program("daemon/main.js", ["--settings", this.entrySettingsPath(number)]);
         this.entries[number] = program;
         return program;
     }
 
+    /** Starts the control process with this number, counted from 0; also after it has ended. */
     startControl(number: number): Program {
         const program = new Program("daemon/main.js", ["--settings", this.controlSettingsPath(number)]);
         this.controls[number] = program;
@@ -275,7 +277,7 @@
     }
 }
 
-/** Whether a URL answers with success in time. The limit is needed for a frozen process: it accepts connections, but never answers. */
+/** Whether a URL answers with success in time; a frozen process accepts connections, but never answers. */
 async function respondsOk(url: string): Promise<boolean> {
     try {
         return (await fetch(url, { signal: AbortSignal.timeout(QUERY_TIMEOUT_MS) })).ok;
