--- a/src/bench/policy/baseline/index.ts
+++ b/src/bench/policy/baseline/index.ts
@@ -1,7 +1,7 @@
 import { Disk } from "../../../ports/index.js";
 import { Score } from "../score/index.js";
 
-/** The figures that are guarded, of one run. */
+/** Figures of one run that are checked for regressions, as stored in the baseline file. */
 export interface BaselineFigures {
     readonly deployment: string;
     readonly scenario: string;
@@ -18,62 +18,71 @@
 
 type Figure = Exclude<keyof BaselineFigures, "deployment" | "scenario" | "policySet">;
 
-/** How far a figure may move to the worse before it is a regression. */
-interface Bound {
+/** Permitted worsening of a figure; anything beyond it is a regression. */
+interface Tolerance {
     readonly figure: Figure;
-    readonly isBetter: "higher" | "lower";
-    /** In the figure's own unit, or as a share of it. */
+    readonly betterWhen: "higher" | "lower";
+    /** In the figure's own unit. */
     readonly absolute?: number;
+    /** As a share of the baseline figure. */
     readonly relative?: number;
 }
 
-const BOUNDS: readonly Bound[] = [
-    { figure: "topAttainment", isBetter: "higher", absolute: 0.005 },
-    { figure: "attainment", isBetter: "higher", absolute: 0.02 },
-    { figure: "goodput", isBetter: "higher", absolute: 0.02 },
-    { figure: "wasted", isBetter: "lower", absolute: 0.005 },
-    { figure: "worstServed", isBetter: "higher", absolute: 0.05 },
-    { figure: "inversions", isBetter: "lower", absolute: 0 },
-    { figure: "costPerAttained", isBetter: "lower", relative: 0.05 },
-    { figure: "reclaimableShare", isBetter: "higher", absolute: 0.05 },
+const TOLERANCES: readonly Tolerance[] = [
+    { figure: "topAttainment", betterWhen: "higher", absolute: 0.005 },
+    { figure: "attainment", betterWhen: "higher", absolute: 0.02 },
+    { figure: "goodput", betterWhen: "higher", absolute: 0.02 },
+    { figure: "wasted", betterWhen: "lower", absolute: 0.005 },
+    { figure: "worstServed", betterWhen: "higher", absolute: 0.05 },
+    { figure: "inversions", betterWhen: "lower", absolute: 0 },
+    { figure: "costPerAttained", betterWhen: "lower", relative: 0.05 },
+    { figure: "reclaimableShare", betterWhen: "higher", absolute: 0.05 },
 ];
 
-/** Only the set that ships is guarded; the others are there to be compared with. */
-const GUARDED_SET = "sequoiamux";
+/** Policy set that ships; the others only serve as a comparison and aren't checked. */
+const CHECKED_SET = "sequoiamux";
 const BASELINE_FILE = "BASELINE.json";
 
-/** Reads the guarded figures. */
+/**
+ * Reads the baseline figures.
+ *
+ * @returns An empty list when there is no baseline file.
+ */
 export async function readBaseline(disk: Disk): Promise<readonly BaselineFigures[]> {
     const bytes = await disk.read(BASELINE_FILE);
     return bytes ? JSON.parse(new TextDecoder().decode(bytes)) as BaselineFigures[] : [];
 }
 
-/** Makes the guarded figures those of this run. */
+/** Replaces the baseline figures with those of the given scores. */
 export async function writeBaseline(disk: Disk, scores: readonly Score[]): Promise<void> {
-    const figures = scores.filter(score => score.policySet === GUARDED_SET).map(pickFigures);
+    const figures = scores.filter(score => score.policySet === CHECKED_SET).map(pickFigures);
     await disk.replace(BASELINE_FILE, new TextEncoder().encode(`${JSON.stringify(figures, undefined, 4)}\n`));
 }
 
 /**
- * Compares a run with the guarded figures.
+ * Compares scores with the baseline figures.
  *
- * @returns One line for each figure that is worse than its bound allows, or that has no baseline.
+ * @returns One line for each figure that is worse than its tolerance allows and for each run without a baseline.
  */
 export function compareWithBaseline(baseline: readonly BaselineFigures[], scores: readonly Score[]): readonly string[] {
-    return scores.filter(score => score.policySet === GUARDED_SET).flatMap(score => {
+    return scores.filter(score => score.policySet === CHECKED_SET).flatMap(score => {
         const name = `${score.deployment} ${score.scenario}`;
-        const known = baseline.find(other =>
-            other.deployment === score.deployment && other.scenario === score.scenario
+        const expected = baseline.find(candidate =>
+            candidate.deployment === score.deployment && candidate.scenario === score.scenario
         );
-        if (!known) return [`${name}: no baseline`];
-        return BOUNDS.filter(bound => isOutside(bound, known[bound.figure], score[bound.figure]))
-            .map(({ figure }) => `${name}: ${figure} was ${known[figure]}, is ${score[figure]}`);
+        if (!expected) return [`${name}: no baseline`];
+        return TOLERANCES.filter(tolerance =>
+            isRegression(tolerance, expected[tolerance.figure], score[tolerance.figure])
+        )
+            .map(({ figure }) => `${name}: ${figure} was ${expected[figure]}, is ${score[figure]}`);
     });
 }
 
-function isOutside(bound: Bound, was: number, is: number): boolean {
-    const room = (bound.absolute ?? 0) + (bound.relative ?? 0) * Math.abs(was);
-    return bound.isBetter === "higher" ? is < was - room : is > was + room;
+function isRegression(tolerance: Tolerance, baselineValue: number, currentValue: number): boolean {
+    const margin = (tolerance.absolute ?? 0) + (tolerance.relative ?? 0) * Math.abs(baselineValue);
+    return tolerance.betterWhen === "higher"
+        ? currentValue < baselineValue - margin
+        : currentValue > baselineValue + margin;
 }
 
 function pickFigures(score: Score): BaselineFigures {
--- a/src/bench/policy/caller/index.ts
+++ b/src/bench/policy/callerFake/index.ts
@@ -7,33 +7,36 @@
 import { PolicySet } from "../policySet/index.js";
 import { PlannedRequest } from "../traffic/index.js";
 
-/** What became of one request, for the score. */
+/** Progress and outcome of one request, from which the score is computed. */
 export interface RequestRecord {
     readonly planned: PlannedRequest;
     outcome: "open" | "answered" | "refused" | "failed";
-    /** Monotonic times, in milliseconds. */
+    /** Monotonic time at which the caller received its first token, in milliseconds. */
     firstTokenAt?: number;
+    /** Monotonic time of the end, in milliseconds. */
     endedAt?: number;
+    /** Reason of the refusal. */
     refusedFor?: string;
-    /** Tokens that the caller has. */
-    delivered: number;
-    /** Tokens made for it that it never got, and prompt tokens processed again. */
-    wasted: number;
+    /** Answer tokens that the caller has received and keeps. */
+    deliveredTokens: number;
+    /** Answer tokens delivered but then discarded, and tokens that a later attempt had to prefill. */
+    wastedTokens: number;
+    /** Tokens that reclaimable engines generated. */
     reclaimableTokens: number;
     attempts: number;
     preemptions: number;
-    /** The entry that held the caller's connection was lost. */
+    /** Whether an entry that held the caller's connection crashed. */
     hasLostEntry: boolean;
 }
 
-type AttemptEnd = "done" | "lost" | "preempted" | "entry-lost";
+type AttemptOutcome = "done" | "lost" | "preempted" | "entry-lost";
 
-/** How long a stalled stream is waited for before it is given up, in milliseconds. */
-const STALL_MS = 500;
-/** What a caller takes to notice a broken connection and come back, in milliseconds. */
-const RECONNECT_MS = 50;
+/** Time after which an entry gives up a stream that has stalled. */
+const STALL_TIMEOUT_MS = 500;
+/** Time in which a caller notices a broken connection and reconnects. */
+const RECONNECT_DELAY_MS = 50;
 
-/** Plays the callers and the entries' part of each request: attempts, resumes, retries. */
+/** Simulates callers, and the attempts, resumptions and retries with which entries serve their requests. */
 export class CallerFake {
     readonly records: RequestRecord[] = [];
     private readonly budgets = new Map<Entry, AttemptBudget>();
@@ -48,19 +51,22 @@
         },
     ) {}
 
-    /** Whether any request has not ended. */
-    get hasOpen(): boolean {
+    /** Whether any request has not ended yet. */
+    get hasOpenRequests(): boolean {
         return this.records.some(record => record.outcome === "open");
     }
 
-    /** Makes one request and follows it to its end. */
-    async make(planned: PlannedRequest): Promise<void> {
+    /**
+     * Sends one request and processes it to its end. When its entry crashes, the caller repeats a repeatable request at
+     * another entry; any other request fails.
+     */
+    async simulate(planned: PlannedRequest): Promise<void> {
         const { clock, deployment, fleet } = this.options;
         const record: RequestRecord = {
             planned,
             outcome: "open",
-            delivered: 0,
-            wasted: 0,
+            deliveredTokens: 0,
+            wastedTokens: 0,
             reclaimableTokens: 0,
             attempts: 0,
             preemptions: 0,
@@ -69,18 +75,18 @@
         this.records.push(record);
         await clock.sleep(deployment.clientLatencyMs);
         for (;;) {
-            const end = await this.askEntry(fleet.pickEntry(), record);
+            const end = await this.callEntry(fleet.pickEntry(), record);
             if (end !== "entry-lost") return;
             record.hasLostEntry = true;
-            if (!planned.shape.repeatable) return this.finish(record, "failed");
-            record.wasted += record.delivered;
-            record.delivered = 0;
+            if (!planned.classProfile.repeatable) return this.finish(record, "failed");
+            record.wastedTokens += record.deliveredTokens;
+            record.deliveredTokens = 0;
             record.firstTokenAt = undefined;
-            await clock.sleep(RECONNECT_MS);
+            await clock.sleep(RECONNECT_DELAY_MS);
         }
     }
 
-    private async askEntry(entry: Entry, record: RequestRecord): Promise<AttemptEnd | undefined> {
+    private async callEntry(entry: Entry, record: RequestRecord): Promise<AttemptOutcome | undefined> {
         const budget = this.budgetOf(entry);
         const avoid: UpstreamId[] = [];
         budget.noteFirstAttempt();
@@ -108,20 +114,21 @@
                 continue;
             }
             avoid.push(grant.upstream);
-            if (!this.mayTryAgain(record, budget)) {
+            if (!this.mayRetry(record, budget)) {
                 this.finish(record, "failed");
                 return undefined;
             }
         }
     }
 
-    private mayTryAgain(record: RequestRecord, budget: AttemptBudget): boolean {
-        const { shape } = record.planned;
-        if (!shape.repeatable) return false;
-        const canResume = this.options.policySet.resumes && shape.resumable;
+    /** Counts the delivered tokens as wasted when the next attempt can't resume the answer. */
+    private mayRetry(record: RequestRecord, budget: AttemptBudget): boolean {
+        const { classProfile: profile } = record.planned;
+        if (!profile.repeatable) return false;
+        const canResume = this.options.policySet.resumesAnswers && profile.resumable;
         if (!canResume) {
-            record.wasted += record.delivered;
-            record.delivered = 0;
+            record.wastedTokens += record.deliveredTokens;
+            record.deliveredTokens = 0;
         }
         return !this.options.policySet.limitsRetries || budget.tryTake(true);
     }
@@ -132,17 +139,17 @@
         grant: Grant,
         record: RequestRecord,
         onPreempt: (listener: () => void) => void,
-    ): Promise<AttemptEnd> {
+    ): Promise<AttemptOutcome> {
         const { clock, fleet } = this.options;
         const engine = this.options.findEngine(grant.upstream)!;
-        const before = record.delivered;
+        const deliveredBefore = record.deliveredTokens;
         record.attempts++;
         const sentAt = clock.monotonic();
-        let firstAt: number | undefined;
+        let firstTokenAtEntry: number | undefined;
         let cachedTokens = 0;
-        await clock.sleep(fleet.latency(entry.zone, engine.shape.zone));
-        const end = await new Promise<AttemptEnd>(resolve => {
-            const isLost = (): boolean => entry.crashedAt !== undefined;
+        await clock.sleep(fleet.latency(entry.zone, engine.profile.zone));
+        const end = await new Promise<AttemptOutcome>(resolve => {
+            const isEntryLost = (): boolean => entry.crashedAt !== undefined;
             onPreempt(() => resolve("preempted"));
             engine.submit({
                 request: ticket.request,
@@ -150,41 +157,41 @@
                 promptTokens: ticket.promptTokens,
                 prefixes: ticket.prefixes,
                 totalTokens: record.planned.answerTokens,
-                offset: before,
-                onStart: cached => {
-                    cachedTokens = cached;
-                    if (record.attempts > 1) record.wasted += ticket.promptTokens + before - cached;
+                resumeOffset: deliveredBefore,
+                onStart: cachedCount => {
+                    cachedTokens = cachedCount;
+                    if (record.attempts > 1) record.wastedTokens += ticket.promptTokens + deliveredBefore - cachedCount;
                 },
                 onTokens: tokens => {
-                    if (isLost()) return resolve("entry-lost");
-                    firstAt ??= clock.monotonic();
+                    if (isEntryLost()) return resolve("entry-lost");
+                    firstTokenAtEntry ??= clock.monotonic();
                     record.firstTokenAt ??= clock.monotonic() + this.options.deployment.clientLatencyMs;
-                    record.delivered += tokens;
-                    if (engine.shape.reclaimable) record.reclaimableTokens += tokens;
+                    record.deliveredTokens += tokens;
+                    if (engine.profile.reclaimable) record.reclaimableTokens += tokens;
                     fleet.progress(entry, ticket.pool, ticket.request, tokens);
                 },
                 onEnd: outcome => {
-                    if (outcome === "done") resolve(isLost() ? "entry-lost" : "done");
-                    else clock.after(firstAt === undefined ? 1 : STALL_MS, () => resolve("lost"));
+                    if (outcome === "done") resolve(isEntryLost() ? "entry-lost" : "done");
+                    else clock.after(firstTokenAtEntry === undefined ? 1 : STALL_TIMEOUT_MS, () => resolve("lost"));
                 },
             });
         });
         if (end !== "done") engine.cancel(ticket.request);
-        const made = record.delivered - before;
-        this.tellOwner(entry, ticket, { end, grant, made, sentAt, firstAt, cachedTokens });
+        const generatedTokens = record.deliveredTokens - deliveredBefore;
+        this.reportCompletion(entry, ticket, { end, grant, generatedTokens, sentAt, firstTokenAtEntry, cachedTokens });
         return end;
     }
 
-    private tellOwner(entry: Entry, ticket: Ticket, attempt: {
-        readonly end: AttemptEnd;
+    private reportCompletion(entry: Entry, ticket: Ticket, attempt: {
+        readonly end: AttemptOutcome;
         readonly grant: Grant;
-        readonly made: number;
+        readonly generatedTokens: number;
         readonly sentAt: number;
-        readonly firstAt: number | undefined;
+        readonly firstTokenAtEntry: number | undefined;
         readonly cachedTokens: number;
     }): void {
         const now = this.options.clock.monotonic();
-        const { end, grant, made, firstAt } = attempt;
+        const { end, grant, generatedTokens, firstTokenAtEntry } = attempt;
         const outcome = {
             "done": "answered",
             "lost": "failed",
@@ -195,39 +202,41 @@
             request: ticket.request,
             upstream: grant.upstream,
             outcome: outcome[end],
-            firstTokenMs: firstAt === undefined ? undefined : firstAt - attempt.sentAt,
-            tokenMs: firstAt === undefined || made < 2 ? undefined : (now - firstAt) / (made - 1),
+            firstTokenMs: firstTokenAtEntry === undefined ? undefined : firstTokenAtEntry - attempt.sentAt,
+            tokenMs: firstTokenAtEntry === undefined || generatedTokens < 2
+                ? undefined
+                : (now - firstTokenAtEntry) / (generatedTokens - 1),
             promptTokens: ticket.promptTokens,
             cachedTokens: attempt.cachedTokens,
-            completionTokens: made,
+            completionTokens: generatedTokens,
         };
         this.options.fleet.complete(entry, ticket.pool, completion);
     }
 
     private makeTicket(entry: Entry, record: RequestRecord, avoid: readonly UpstreamId[]): Ticket {
-        const { shape, workspace, id, atMs } = record.planned;
+        const { classProfile: profile, workspace, id, atMs } = record.planned;
         const arrivedAt = atMs + this.options.deployment.clientLatencyMs;
         return {
-            // A resumed or retried request is a new grant: its late completion must not be taken for the first one's.
+            // Each attempt has an ID of its own, so that a late completion isn't attributed to another attempt's grant.
             request: `${id}#${record.attempts}` as RequestId,
             origin: entry.host,
             workspace: workspace.id as WorkspaceId,
-            className: shape.name as ClassName,
-            tier: shape.tier,
+            className: profile.name as ClassName,
+            tier: profile.tier,
             weight: workspace.weight,
-            pool: shape.pool as PoolId,
+            pool: profile.pool as PoolId,
             promptTokens: record.planned.promptTokens,
-            maxTokens: shape.maxTokens,
-            firstTokenMs: shape.firstTokenMs,
-            tokenMs: shape.tokenMs,
-            maxWaitMs: shape.maxWaitMs,
-            guaranteedShare: shape.guaranteedShare,
+            maxTokens: profile.maxTokens,
+            firstTokenMs: profile.firstTokenMs,
+            tokenMs: profile.tokenMs,
+            maxWaitMs: profile.maxWaitMs,
+            guaranteedShare: profile.guaranteedShare,
             ageMs: this.options.clock.monotonic() - arrivedAt,
             prefixes: record.planned.prefixes,
-            resumable: shape.resumable && this.options.policySet.resumes,
-            repeatable: shape.repeatable,
+            resumable: profile.resumable && this.options.policySet.resumesAnswers,
+            repeatable: profile.repeatable,
             avoid: [...avoid],
-            resumeOffset: record.delivered,
+            resumeOffset: record.deliveredTokens,
         };
     }
 
@@ -241,7 +250,7 @@
 
     private finish(record: RequestRecord, outcome: RequestRecord["outcome"]): void {
         record.outcome = outcome;
-        if (outcome !== "answered") record.wasted += record.delivered;
+        if (outcome !== "answered") record.wastedTokens += record.deliveredTokens;
         record.endedAt = this.options.clock.monotonic();
     }
 }
--- a/src/bench/policy/demandMeter/index.ts
+++ b/src/bench/policy/demandMeter/index.ts
@@ -1,43 +1,45 @@
 import { PoolId } from "../../../ids/index.js";
 import { DemandForecast, TierDemand } from "../../../purchase/index.js";
-import { ClassShape, Deployment } from "../deployment/index.js";
-import { START_MS } from "../platformFake/index.js";
+import { ClassProfile, Deployment } from "../deployment/index.js";
+import { UPSTREAM_START_MS } from "../platformFake/index.js";
 import { BATCH_SLOWDOWN, PlannedRequest } from "../traffic/index.js";
 
-const WINDOW_MS = 2_000;
-const MEAN_OF_MEDIAN = 1.13;
+/** Length of the sliding window over which arrival rates are measured. */
+const ARRIVAL_WINDOW_MS = 2_000;
+/** Ratio of the mean to the median of the log-normal answer lengths. */
+const MEAN_TO_MEDIAN_RATIO = 1.13;
 
-/** Measures each class's demand from its arrivals, as entries report them, and forecasts it. */
+/** Measures the demand of each class in slots from its request arrivals, as entries report it, and forecasts it. */
 export class DemandMeter {
-    private readonly forecastOf = new DemandForecast({
+    private readonly demandForecast = new DemandForecast({
         levelMs: 3_000,
         peakHalfLifeMs: 60_000,
         peakShare: 0.6,
-        startMs: START_MS,
+        startMs: UPSTREAM_START_MS,
     });
 
     constructor(private readonly deployment: Deployment, private readonly requests: readonly PlannedRequest[]) {}
 
-    /** The demand that the templates' steady traffic would bring. */
-    steady(): readonly TierDemand[] {
-        return this.deployment.classes.map(shape => this.demandOf(shape, shape.perSecond));
+    /** Returns the demand of the classes' steady traffic, without bursts. */
+    steadyDemand(): readonly TierDemand[] {
+        return this.deployment.classes.map(profile => this.demandOf(profile, profile.perSecond));
     }
 
-    /** Looks at the arrivals up to now; the forecast follows. */
+    /** Updates the forecast with the arrivals of the last window and returns it. */
     forecast(nowMs: number): readonly TierDemand[] {
-        for (const shape of this.deployment.classes) {
-            const arrived = this.requests.filter(request =>
-                request.shape === shape && request.atMs > nowMs - WINDOW_MS && request.atMs <= nowMs
+        for (const profile of this.deployment.classes) {
+            const arrivals = this.requests.filter(request =>
+                request.classProfile === profile && request.atMs > nowMs - ARRIVAL_WINDOW_MS && request.atMs <= nowMs
             ).length;
-            this.forecastOf.learn(this.demandOf(shape, arrived / WINDOW_MS * 1_000), nowMs);
+            this.demandForecast.learn(this.demandOf(profile, arrivals / ARRIVAL_WINDOW_MS * 1_000), nowMs);
         }
-        return this.forecastOf.forecast();
+        return this.demandForecast.forecast();
     }
 
-    private demandOf(shape: ClassShape, perSecond: number): TierDemand {
-        const pool = this.deployment.pools.find(other => other.pool === shape.pool)!;
-        const answerMs = shape.answerTokens * MEAN_OF_MEDIAN * pool.tokenMs * (1 + BATCH_SLOWDOWN);
-        const slotMs = answerMs + shape.promptTokens * pool.prefillTokenMs / 2;
-        return { pool: shape.pool as PoolId, tier: shape.tier, slots: perSecond * slotMs / 1_000 };
+    private demandOf(profile: ClassProfile, perSecond: number): TierDemand {
+        const pool = this.deployment.pools.find(candidate => candidate.pool === profile.pool)!;
+        const answerMs = profile.answerTokens * MEAN_TO_MEDIAN_RATIO * pool.tokenMs * (1 + BATCH_SLOWDOWN);
+        const slotMs = answerMs + profile.promptTokens * pool.prefillTokenMs / 2;
+        return { pool: profile.pool as PoolId, tier: profile.tier, slots: perSecond * slotMs / 1_000 };
     }
 }
--- a/src/bench/policy/deployment/index.ts
+++ b/src/bench/policy/deployment/index.ts
@@ -1,65 +1,72 @@
-/** One class of a deployment's templates, and the traffic that it brings. */
-export interface ClassShape {
+/** Request class with its targets and its traffic. */
+export interface ClassProfile {
     readonly name: string;
+    /** Priority tier; 0 is the highest. */
     readonly tier: number;
     readonly pool: string;
+    /** Target for the time to the first token, in milliseconds. */
     readonly firstTokenMs: number;
+    /** Target for the mean time between tokens, in milliseconds. */
     readonly tokenMs: number;
     readonly maxWaitMs: number;
     readonly guaranteedShare: number;
     readonly resumable: boolean;
     readonly repeatable: boolean;
-    /** Requests a second over all workspaces in the steady state. */
+    /** Requests per second of all workspaces in the steady state. */
     readonly perSecond: number;
+    /** Mean length of a prompt, in tokens. */
     readonly promptTokens: number;
     /** Median length of an answer, in tokens; lengths are log-normal. */
     readonly answerTokens: number;
     readonly maxTokens: number;
 }
 
-/** A workspace and its part of the traffic. */
-export interface WorkspaceShape {
+/** Workspace with its fairness weight and its part of the traffic. */
+export interface WorkspaceProfile {
     readonly id: string;
     readonly weight: number;
-    /** Its share of each class's requests, beside the others' shares. */
+    /** Share of each class's requests, relative to the values of the other workspaces. */
     readonly traffic: number;
 }
 
-/** A group of like engines. */
-export interface PoolShape {
+/** Pool of identical engines. */
+export interface PoolProfile {
     readonly pool: string;
-    /** Engines for the peak, as static purchase would run them. */
+    /** Number of engines for the peak load, all of which static purchasing keeps running. */
     readonly engines: number;
     readonly slots: number;
+    /** Time for one token of a request that runs alone, in milliseconds. */
     readonly tokenMs: number;
+    /** Prefill time for one token that is not cached, in milliseconds. */
     readonly prefillTokenMs: number;
 }
 
-/** One of the brief's users, at today's size. */
+/** Installation of one user organization at its present size. */
 export interface Deployment {
     readonly name: string;
     readonly zones: readonly string[];
-    /** One way between zones, in milliseconds. */
+    /** One-way latency between zones, in milliseconds. */
     readonly zoneLatencyMs: number;
-    /** One way between callers and entries, in milliseconds. */
+    /** One-way latency between callers and entries, in milliseconds. */
     readonly clientLatencyMs: number;
+    /** Number of entry hosts. */
     readonly entries: number;
-    readonly pools: readonly PoolShape[];
-    readonly classes: readonly ClassShape[];
-    readonly workspaces: readonly WorkspaceShape[];
-    /** The class whose bursts the scenarios play. */
+    readonly pools: readonly PoolProfile[];
+    readonly classes: readonly ClassProfile[];
+    readonly workspaces: readonly WorkspaceProfile[];
+    /** Class that gets the additional traffic of a burst. */
     readonly burstClass: string;
 }
 
-const SLOTS = 16;
+const MODEL_ENGINE_SLOTS = 16;
 
-/** Ten workspaces: two large, three middling, five small. */
-function makeWorkspaces(prefix: string): WorkspaceShape[] {
+/** Creates ten workspaces: two large, three medium-sized, five small. */
+function makeWorkspaces(prefix: string): WorkspaceProfile[] {
     const weights = [4, 4, 2, 2, 2, 1, 1, 1, 1, 1];
     return weights.map((weight, index) => ({ id: `${prefix}-${index + 1}`, weight, traffic: weight }));
 }
 
-/** Reykjanes Municipal Provisioning Utility. */
+/** Deployment of the Reykjanes Municipal Provisioning Utility. */
 export const UTILITY: Deployment = {
     name: "utility",
     zones: ["keflavik", "grindavik", "sandgerdi", "vogar"],
@@ -67,7 +74,7 @@
     clientLatencyMs: 4,
     entries: 7,
     pools: [
-        { pool: "draft", engines: 8, slots: SLOTS, tokenMs: 20, prefillTokenMs: 0.25 },
+        { pool: "draft", engines: 8, slots: MODEL_ENGINE_SLOTS, tokenMs: 20, prefillTokenMs: 0.25 },
         { pool: "ledger", engines: 4, slots: 8, tokenMs: 10, prefillTokenMs: 0.1 },
     ],
     classes: [
@@ -136,7 +143,7 @@
     burstClass: "questions",
 };
 
-/** Al Batinah Pool Chemical Supply Consortium. */
+/** Deployment of the Al Batinah Pool Chemical Supply Consortium. */
 export const CONSORTIUM: Deployment = {
     name: "consortium",
     zones: ["sohar", "barka", "muscat"],
@@ -144,7 +151,7 @@
     clientLatencyMs: 1,
     entries: 7,
     pools: [
-        { pool: "model", engines: 8, slots: SLOTS, tokenMs: 20, prefillTokenMs: 0.25 },
+        { pool: "model", engines: 8, slots: MODEL_ENGINE_SLOTS, tokenMs: 20, prefillTokenMs: 0.25 },
         { pool: "dispatch", engines: 3, slots: 8, tokenMs: 10, prefillTokenMs: 0.1 },
     ],
     classes: [
@@ -213,4 +220,5 @@
     burstClass: "manifests",
 };
 
+/** All deployments of the bench. */
 export const DEPLOYMENTS: readonly Deployment[] = [UTILITY, CONSORTIUM];
--- a/src/bench/policy/engineFake/index.ts
+++ b/src/bench/policy/engineFake/index.ts
@@ -2,47 +2,48 @@
 import { Clock } from "../../../ports/index.js";
 import { Announcement } from "../../../protocol/index.js";
 
-/** How one engine behaves. */
-export interface EngineShape {
+/** Capacity, speed and price of a simulated engine. */
+export interface EngineProfile {
     readonly id: string;
     readonly zone: string;
     readonly pool: string;
     readonly slots: number;
     readonly reclaimable: boolean;
-    /** Micro-credits an hour. */
+    /** Price in micro-credits per hour. */
     readonly pricePerHour: number;
-    /** Time for a token of a lone request, in milliseconds. */
+    /** Time for one token of a request that runs alone, in milliseconds. */
     readonly tokenMs: number;
-    /** How much a full batch slows each token, as a share. */
+    /** Additional time for each token in a full batch, as a share of `tokenMs`. */
     readonly batchSlowdown: number;
-    /** Time for one prompt token that is not cached, in milliseconds. */
+    /** Prefill time for one token that is not cached, in milliseconds. */
     readonly prefillTokenMs: number;
-    /** Prefixes that its cache holds. */
+    /** Number of prefixes that the prefix cache holds. */
     readonly cachedPrefixes: number;
-    /** How old the load is that it reports, in milliseconds. */
+    /** Age of the reported load, in milliseconds. */
     readonly reportLagMs: number;
 }
 
-/** A request as the engine gets it. */
-export interface EngineWork {
+/** Request to an engine, with callbacks for its progress. */
+export interface EngineRequest {
     readonly request: RequestId;
+    /** Lower values leave the queue first. */
     readonly priority: number;
     readonly promptTokens: number;
     readonly prefixes: readonly string[];
-    /** Tokens of the whole answer. */
+    /** Length of the whole answer, in tokens. */
     readonly totalTokens: number;
-    /** Tokens that the caller has already. */
-    readonly offset: number;
+    /** Answer tokens that the caller has received from earlier attempts. */
+    readonly resumeOffset: number;
     readonly onStart: (cachedTokens: number) => void;
     readonly onTokens: (tokens: number) => void;
     readonly onEnd: (outcome: "done" | "lost") => void;
 }
 
-interface Running {
-    readonly work: EngineWork;
+interface EngineTask {
+    readonly request: EngineRequest;
     prefillMs: number;
-    made: number;
-    isStarted: boolean;
+    generatedTokens: number;
+    hasGenerated: boolean;
 }
 
 interface LoadSample {
@@ -51,37 +52,39 @@
     readonly queued: number;
 }
 
-/** What an engine has computed. */
-export interface EngineTally {
+/** Tokens that an engine has computed. */
+export interface ComputedTokens {
     prefilled: number;
     generated: number;
 }
 
-/** Tokens that one event of the fake makes for each request: coarse, to keep the bench quick. */
-export const STEP_TOKENS = 4;
+/** Tokens that one simulation step generates for each running request; several, so that the bench runs quickly. */
+export const TOKENS_PER_STEP = 4;
 
 /**
- * An engine in memory: continuous batching in slots, priorities among what queues in front of them, a prefix cache of
- * limited size, load reports that are late, cache events of which some are lost.
+ * Simulates an inference engine: continuous batching in a fixed number of slots, a queue ordered by priority, a prefix
+ * cache of limited size, delayed load reports, and cache events of which some are lost.
  */
 export class EngineFake {
-    readonly tally: EngineTally = { prefilled: 0, generated: 0 };
+    readonly computedTokens: ComputedTokens = { prefilled: 0, generated: 0 };
+    /** Monotonic time, in milliseconds. */
     readonly startedAt: number;
+    /** Monotonic time, in milliseconds; undefined while the engine runs. */
     endedAt: number | undefined;
-    /** Slows each token and each prompt, as a straggler does. */
-    slowness = 1;
-    private readonly running = new Map<RequestId, Running>();
-    private queued: Running[] = [];
+    /** Multiplies the time of each token and each prefill; above 1 for a straggler. */
+    slowdownFactor = 1;
+    private readonly running = new Map<RequestId, EngineTask>();
+    private queued: EngineTask[] = [];
     private readonly cache = new Map<string, true>();
-    private samples: LoadSample[] = [];
+    private loadSamples: LoadSample[] = [];
     private events: { kind: "stored" | "evicted"; prefix: string; }[] = [];
-    private eventSequence = 0;
-    private announcements = 0;
-    private isStepping = false;
+    private nextEventSequence = 0;
+    private announcementCount = 0;
+    private isStepScheduled = false;
     private state: Announcement["state"] = "ready";
     private reclaimAt: number | undefined;
 
-    constructor(private readonly clock: Clock, readonly shape: EngineShape) {
+    constructor(private readonly clock: Clock, readonly profile: EngineProfile) {
         this.startedAt = clock.monotonic();
     }
 
@@ -89,78 +92,80 @@
         return this.endedAt === undefined;
     }
 
-    /** Whether it takes no new work. */
+    /** Whether the engine is about to stop and should get no new requests. */
     get isLeaving(): boolean {
         return this.state !== "ready" || this.reclaimAt !== undefined;
     }
 
-    /** Takes a request; one that the engine can no longer take is lost at once. */
-    submit(work: EngineWork): void {
+    /** Queues a request. A stopped engine ends it as lost immediately. */
+    submit(request: EngineRequest): void {
         if (!this.isAlive) {
-            work.onEnd("lost");
+            request.onEnd("lost");
             return;
         }
-        this.queued.push({ work, prefillMs: 0, made: work.offset, isStarted: false });
-        this.queued.sort((a, b) => a.work.priority - b.work.priority);
-        this.fill();
+        this.queued.push({ request, prefillMs: 0, generatedTokens: request.resumeOffset, hasGenerated: false });
+        this.queued.sort((a, b) => a.request.priority - b.request.priority);
+        this.fillSlots();
     }
 
-    /** Stops a request. */
+    /** Removes a request from the slots or the queue without calling `onEnd`. */
     cancel(request: RequestId): void {
         this.running.delete(request);
-        this.queued = this.queued.filter(other => other.work.request !== request);
-        this.fill();
+        this.queued = this.queued.filter(other => other.request.request !== request);
+        this.fillSlots();
     }
 
-    /** Says that the platform takes it back after a time. */
-    noticeReclaim(inMs: number): void {
-        this.reclaimAt = this.clock.monotonic() + inMs;
+    /** Announces from now on that the platform reclaims the engine after `noticeMs`. */
+    announceReclaim(noticeMs: number): void {
+        this.reclaimAt = this.clock.monotonic() + noticeMs;
     }
 
-    /** Takes no new work from now on. */
+    /** Announces from now on that the engine is leaving. */
     leave(): void {
         this.state = "leaving";
     }
 
-    /** Ends at once; its callers find out by themselves. */
+    /** Stops immediately; all its requests end as lost. */
     crash(): void {
         if (!this.isAlive) return;
         this.endedAt = this.clock.monotonic();
         const lost = [...this.running.values(), ...this.queued];
         this.running.clear();
         this.queued = [];
-        for (const { work } of lost) work.onEnd("lost");
+        for (const { request } of lost) request.onEnd("lost");
     }
 
+    /** Whether no request is running or queued. */
     get isIdle(): boolean {
         return this.running.size + this.queued.length === 0;
     }
 
-    /** Its next announcement; the load in it is as old as the lag says. */
+    /** Creates the next announcement. Its load is `reportLagMs` old. */
     announce(): Announcement {
         const now = this.clock.monotonic();
-        this.samples.push({ at: now, running: this.running.size, queued: this.queued.length });
-        this.samples = this.samples.filter(sample => sample.at >= now - 2 * this.shape.reportLagMs - 1_000);
-        const sample = this.samples.findLast(other => other.at <= now - this.shape.reportLagMs) ?? this.samples[0];
+        this.loadSamples.push({ at: now, running: this.running.size, queued: this.queued.length });
+        this.loadSamples = this.loadSamples.filter(sample => sample.at >= now - 2 * this.profile.reportLagMs - 1_000);
+        const sample = this.loadSamples.findLast(other => other.at <= now - this.profile.reportLagMs)
+            ?? this.loadSamples[0];
         const events = this.events;
         this.events = [];
-        const sequence = this.eventSequence;
-        this.eventSequence += events.length;
-        this.announcements++;
-        // Each eighth batch of cache events is lost.
-        const cache = this.announcements % 8 === 0 ? undefined : { sequence, events };
+        const sequence = this.nextEventSequence;
+        this.nextEventSequence += events.length;
+        this.announcementCount++;
+        // Every eighth batch of cache events is lost.
+        const cache = this.announcementCount % 8 === 0 ? undefined : { sequence, events };
         return {
-            id: this.shape.id,
+            id: this.profile.id,
             incarnation: 1,
-            sequence: this.announcements,
+            sequence: this.announcementCount,
             state: this.state,
             kind: "engine",
-            pools: [this.shape.pool],
-            zone: this.shape.zone,
+            pools: [this.profile.pool],
+            zone: this.profile.zone,
             address: "10.1.0.1:8000",
-            slots: this.shape.slots,
-            price_per_hour: this.shape.pricePerHour,
-            reclaimable: this.shape.reclaimable,
+            slots: this.profile.slots,
+            price_per_hour: this.profile.pricePerHour,
+            reclaimable: this.profile.reclaimable,
             checks_fence: true,
             load: {
                 running: sample.running,
@@ -174,64 +179,68 @@
         };
     }
 
-    private fill(): void {
-        while (this.running.size < this.shape.slots && this.queued.length > 0) {
-            const next = this.queued.shift()!;
-            const cachedTokens = this.prefill(next);
-            this.running.set(next.work.request, next);
-            next.work.onStart(cachedTokens);
+    private fillSlots(): void {
+        while (this.running.size < this.profile.slots && this.queued.length > 0) {
+            const task = this.queued.shift()!;
+            const cachedTokens = this.prefill(task);
+            this.running.set(task.request.request, task);
+            task.request.onStart(cachedTokens);
         }
-        this.arm();
-    }
-
-    private prefill(next: Running): number {
-        const { prefixes, promptTokens, offset } = next.work;
-        const known = prefixes.findLastIndex(prefix => this.cache.has(prefix)) + 1;
-        const cachedTokens = prefixes.length === 0 ? 0 : Math.floor(promptTokens * known / (prefixes.length + 1));
-        const fresh = promptTokens + offset - cachedTokens;
-        next.prefillMs = fresh * this.shape.prefillTokenMs * this.slowness;
-        this.tally.prefilled += fresh;
-        for (const prefix of prefixes) this.store(prefix);
+        this.scheduleStep();
+    }
+
+    private prefill(task: EngineTask): number {
+        const { prefixes, promptTokens, resumeOffset } = task.request;
+        const knownPrefixes = prefixes.findLastIndex(prefix => this.cache.has(prefix)) + 1;
+        const cachedTokens = prefixes.length === 0
+            ? 0
+            : Math.floor(promptTokens * knownPrefixes / (prefixes.length + 1));
+        const uncachedTokens = promptTokens + resumeOffset - cachedTokens;
+        task.prefillMs = uncachedTokens * this.profile.prefillTokenMs * this.slowdownFactor;
+        this.computedTokens.prefilled += uncachedTokens;
+        for (const prefix of prefixes) this.cachePrefix(prefix);
         return cachedTokens;
     }
 
-    private store(prefix: string): void {
+    private cachePrefix(prefix: string): void {
         if (!this.cache.delete(prefix)) this.events.push({ kind: "stored", prefix });
         this.cache.set(prefix, true);
-        if (this.cache.size <= this.shape.cachedPrefixes) return;
+        if (this.cache.size <= this.profile.cachedPrefixes) return;
         const oldest = this.cache.keys().next().value!;
         this.cache.delete(oldest);
         this.events.push({ kind: "evicted", prefix: oldest });
     }
 
-    private arm(): void {
-        if (this.isStepping || this.running.size === 0) return;
-        this.isStepping = true;
-        const { tokenMs, batchSlowdown, slots } = this.shape;
-        const paceMs = tokenMs * (1 + batchSlowdown * this.running.size / slots) * this.slowness;
-        const stepMs = paceMs * STEP_TOKENS;
+    private scheduleStep(): void {
+        if (this.isStepScheduled || this.running.size === 0) return;
+        this.isStepScheduled = true;
+        const { tokenMs, batchSlowdown, slots } = this.profile;
+        const tokenIntervalMs = tokenMs * (1 + batchSlowdown * this.running.size / slots) * this.slowdownFactor;
+        const stepMs = tokenIntervalMs * TOKENS_PER_STEP;
         this.clock.after(stepMs, () => this.step(stepMs));
     }
 
     private step(stepMs: number): void {
-        this.isStepping = false;
+        this.isStepScheduled = false;
         if (!this.isAlive) return;
-        for (const running of [...this.running.values()]) this.advance(running, stepMs);
-        this.fill();
+        for (const running of [...this.running.values()]) this.advanceTask(running, stepMs);
+        this.fillSlots();
     }
 
-    private advance(running: Running, stepMs: number): void {
+    private advanceTask(running: EngineTask, stepMs: number): void {
         running.prefillMs -= stepMs;
         if (running.prefillMs > 0) return;
-        const { work } = running;
-        const left = work.totalTokens - running.made;
-        const made = running.isStarted ? STEP_TOKENS : Math.ceil(-running.prefillMs / stepMs * STEP_TOKENS);
-        const tokens = Math.min(left, Math.max(1, made));
-        running.isStarted = true;
-        running.made += tokens;
-        this.tally.generated += tokens;
-        work.onTokens(tokens);
-        if (running.made < work.totalTokens || !this.running.delete(work.request)) return;
-        work.onEnd("done");
+        const { request } = running;
+        const left = request.totalTokens - running.generatedTokens;
+        const generatedTokens = running.hasGenerated
+            ? TOKENS_PER_STEP
+            : Math.ceil(-running.prefillMs / stepMs * TOKENS_PER_STEP);
+        const tokens = Math.min(left, Math.max(1, generatedTokens));
+        running.hasGenerated = true;
+        running.generatedTokens += tokens;
+        this.computedTokens.generated += tokens;
+        request.onTokens(tokens);
+        if (running.generatedTokens < request.totalTokens || !this.running.delete(request.request)) return;
+        request.onEnd("done");
     }
 }
--- a/src/bench/policy/fleet/index.ts
+++ b/src/bench/policy/fleet/index.ts
@@ -15,13 +15,13 @@
 import { EngineFake } from "../engineFake/index.js";
 import { PolicySet } from "../policySet/index.js";
 
-/** One entry host of the fleet. */
+/** Entry host with its own upstream registry and dispatcher. */
 export interface Entry {
     readonly host: HostId;
     readonly zone: ZoneId;
     readonly registry: UpstreamRegistry;
     readonly dispatcher: LocalDispatcher;
-    /** Monotonic time of its crash, in milliseconds. */
+    /** Monotonic time of the crash, in milliseconds. */
     crashedAt?: number;
 }
 
@@ -33,19 +33,19 @@
 }
 
 const REGION = "region-1";
-const ANNOUNCE_EVERY_MS = 500;
-/** From the crash of an entry until the others know, in milliseconds. */
-const DETECTION_MS = 500;
+const ANNOUNCE_INTERVAL_MS = 500;
+/** Time from the crash of an entry until the other entries detect it. */
+const LOSS_DETECTION_MS = 500;
 
 /**
- * The entries of a deployment with their real dispatchers, joined by latencies instead of a network: what the lead's
- * remote form does over the wire is done here by waiting.
+ * Entries of a deployment with their real dispatchers. In place of the network, over which the remote dispatcher reaches
+ * a pool's owner, calls between entries sleep for the latency.
  */
 export class Fleet {
     readonly entries: readonly Entry[];
-    private readonly running = new Map<RequestId, RunningGrant>();
+    private readonly runningGrants = new Map<RequestId, RunningGrant>();
     private readonly owners = new Map<PoolId, Entry>();
-    private readonly preempts = new Map<RequestId, () => void>();
+    private readonly preemptListeners = new Map<RequestId, () => void>();
 
     constructor(
         private readonly options: {
@@ -59,76 +59,84 @@
         this.entries = Array.from({ length: options.deployment.entries }, (_, index) => this.makeEntry(index));
     }
 
-    /** The entry that the balancer gives a caller. */
+    /** Picks a random live entry for a caller, as the load balancer does. */
     pickEntry(): Entry {
         return this.options.random.pick(this.entries.filter(entry => entry.crashedAt === undefined));
     }
 
-    /** Lets an engine announce itself to any entry, which tells the others. */
-    follow(engine: EngineFake): void {
+    /** Makes an engine announce itself periodically to a random entry, which forwards the announcement to the others. */
+    startAnnouncements(engine: EngineFake): void {
         if (!engine.isAlive) return;
         const announcement = engine.announce();
-        const first = this.pickEntry();
-        first.registry.announce(announcement);
+        const receiver = this.pickEntry();
+        receiver.registry.announce(announcement);
         this.options.clock.after(this.options.deployment.zoneLatencyMs, () => {
             const ageMs = this.options.deployment.zoneLatencyMs;
             for (const entry of this.entries) entry.registry.merge([{ announcement, ageMs }]);
         });
-        this.options.clock.after(ANNOUNCE_EVERY_MS, () => this.follow(engine));
+        this.options.clock.after(ANNOUNCE_INTERVAL_MS, () => this.startAnnouncements(engine));
     }
 
-    /** One-way latency between two zones, in milliseconds. */
+    /** Returns the one-way latency between two zones, in milliseconds. */
     latency(from: string, to: string): number {
         return from === to ? this.options.deployment.zoneLatencyMs / 4 : this.options.deployment.zoneLatencyMs;
     }
 
     /**
-     * Asks the pool's owner for a grant, and the next owner when that one is lost.
+     * Requests a grant from the pool's owner, and from the next owner when that one crashes.
      *
-     * @param preempt - Called when the granted request must give its place.
+     * @param onPreemption - Called when the granted request is preempted.
+     * @returns Undefined when the requesting entry has crashed.
      */
-    async dispatch(entry: Entry, ticket: Ticket, preempt: () => void): Promise<Either<Refusal, Grant> | undefined> {
+    async dispatch(
+        entry: Entry,
+        ticket: Ticket,
+        onPreemption: () => void,
+    ): Promise<Either<Refusal, Grant> | undefined> {
         const { clock } = this.options;
         const sentAt = clock.monotonic();
         for (;;) {
             const owner = this.ownerOf(entry, ticket.pool);
-            const hopMs = owner === entry ? 0 : this.latency(entry.zone, owner.zone);
-            await clock.sleep(hopMs);
+            const latencyMs = owner === entry ? 0 : this.latency(entry.zone, owner.zone);
+            await clock.sleep(latencyMs);
             const ageMs = ticket.ageMs + clock.monotonic() - sentAt;
-            const decision = await this.submitTo(owner, { ...ticket, ageMs }, preempt);
+            const decision = await this.submitTo(owner, { ...ticket, ageMs }, onPreemption);
             if (entry.crashedAt !== undefined) return undefined;
-            await clock.sleep(hopMs);
+            await clock.sleep(latencyMs);
             if (decision) {
                 const grantedAt = clock.monotonic();
-                decision.ifRight(grant => this.running.set(ticket.request, { entry, ticket, grant, grantedAt }));
+                decision.ifRight(grant => this.runningGrants.set(ticket.request, { entry, ticket, grant, grantedAt }));
                 return decision;
             }
-            await clock.sleep(Math.max(0, owner.crashedAt! + DETECTION_MS - clock.monotonic()));
+            await clock.sleep(Math.max(0, owner.crashedAt! + LOSS_DETECTION_MS - clock.monotonic()));
         }
     }
 
-    /** Tells the owner what became of a grant. */
+    /** Reports the outcome of a granted request to the owner. */
     complete(entry: Entry, pool: PoolId, completion: Completion): void {
-        this.running.delete(completion.request);
-        this.preempts.delete(completion.request);
+        this.runningGrants.delete(completion.request);
+        this.preemptListeners.delete(completion.request);
         const owner = this.ownerOf(entry, pool);
-        const hopMs = owner === entry ? 0 : this.latency(entry.zone, owner.zone);
-        this.options.clock.after(hopMs, () => owner.dispatcher.complete(completion));
+        const latencyMs = owner === entry ? 0 : this.latency(entry.zone, owner.zone);
+        this.options.clock.after(latencyMs, () => owner.dispatcher.complete(completion));
     }
 
-    /** Tells the owner that a running request got tokens. */
+    /** Reports to the owner that a running request has received tokens. */
     progress(entry: Entry, pool: PoolId, request: RequestId, tokens: number): void {
         this.ownerOf(entry, pool).dispatcher.progress(request, tokens);
     }
 
-    /** Loses the owner of a pool's queue; the rest know of it a little later and adopt what it had granted. */
+    /**
+     * Crashes the owner of a pool's queue. After `LOSS_DETECTION_MS` the new owner adopts the running requests that it had
+     * granted.
+     */
     crashOwner(pool: PoolId): Entry {
         const { clock } = this.options;
         const lost = this.ownerOf(this.entries[0], pool);
         lost.crashedAt = clock.monotonic();
         lost.dispatcher.close();
-        clock.after(DETECTION_MS, () => {
-            for (const { entry, ticket, grant, grantedAt } of this.running.values()) {
+        clock.after(LOSS_DETECTION_MS, () => {
+            for (const { entry, ticket, grant, grantedAt } of this.runningGrants.values()) {
                 const runningMs = clock.monotonic() - grantedAt;
                 this.ownerOf(entry, ticket.pool).dispatcher.adopt(ticket, grant, runningMs);
             }
@@ -136,7 +144,7 @@
         return lost;
     }
 
-    /** Stops all timers at the end of a scenario. */
+    /** Closes all dispatchers, which stops their timers. */
     close(): void {
         for (const entry of this.entries) entry.dispatcher.close();
     }
@@ -144,10 +152,10 @@
     private async submitTo(
         owner: Entry,
         ticket: Ticket,
-        preempt: () => void,
+        onPreemption: () => void,
     ): Promise<Either<Refusal, Grant> | undefined> {
         if (owner.crashedAt !== undefined) return undefined;
-        this.preempts.set(ticket.request, preempt);
+        this.preemptListeners.set(ticket.request, onPreemption);
         const decision = await owner.dispatcher.submit(ticket, new AbortController().signal);
         const wasLost = owner.crashedAt !== undefined;
         return wasLost ? undefined : decision;
@@ -155,17 +163,17 @@
 
     private ownerOf(entry: Entry, pool: PoolId): Entry {
         if (this.options.policySet.queues === "local") return entry;
-        const known = this.owners.get(pool);
-        if (known && !this.isKnownLost(known)) return known;
-        const believedAlive = this.entries.filter(other => !this.isKnownLost(other));
-        const host = rankPoolOwners(pool, REGION, believedAlive.map(other => other.host))[0];
+        const currentOwner = this.owners.get(pool);
+        if (currentOwner && !this.isDetectedLost(currentOwner)) return currentOwner;
+        const presumedAlive = this.entries.filter(other => !this.isDetectedLost(other));
+        const host = rankPoolOwners(pool, REGION, presumedAlive.map(other => other.host))[0];
         const owner = this.entries.find(other => other.host === host)!;
         this.owners.set(pool, owner);
         return owner;
     }
 
-    private isKnownLost(entry: Entry): boolean {
-        return entry.crashedAt !== undefined && this.options.clock.monotonic() >= entry.crashedAt + DETECTION_MS;
+    private isDetectedLost(entry: Entry): boolean {
+        return entry.crashedAt !== undefined && this.options.clock.monotonic() >= entry.crashedAt + LOSS_DETECTION_MS;
     }
 
     private makeEntry(index: number): Entry {
@@ -174,7 +182,7 @@
         const zone = deployment.zones[index % deployment.zones.length] as ZoneId;
         const policies = policySet.dispatch;
         const dispatcher = new LocalDispatcher({ clock, random, registry, zone, policies, observer });
-        dispatcher.onPreempt(request => this.preempts.get(request)?.());
+        dispatcher.onPreempt(request => this.preemptListeners.get(request)?.());
         return { host: `entry-${index + 1}` as HostId, zone, registry, dispatcher };
     }
 }
--- a/src/bench/policy/inversions/index.ts
+++ b/src/bench/policy/inversionCounter/index.ts
@@ -1,20 +1,20 @@
 import { DispatchObserver, Grant, Refusal, WaitingTicket } from "../../../dispatch/index.js";
 import { RequestId } from "../../../ids/index.js";
 
-/** What must never happen between tiers, counted. */
+/** Counts of decisions that violate the order of tiers, none of which may happen. */
 export interface InversionTally {
-    /** Passed over for a lower tier and refused in the end. */
+    /** Tickets that a lower tier overtook and that were then refused. */
     passedOver: number;
-    /** Preempted for the same tier or a lower one. */
+    /** Requests preempted in favor of the same tier or a lower one. */
     preempted: number;
 }
 
 /**
- * Watches the decisions of one queue owner for inversions: a ticket that waited while a lower tier got a slot, and was
- * then refused, has paid for the lower one. A grant out of slack, after which the higher one is granted in time, is
- * none.
+ * Counts priority inversions in dispatch decisions: tickets that waited while a lower tier got a slot and were then
+ * refused, and preemptions in favor of the same or a lower tier. A grant to a lower tier out of slack, after which the
+ * higher one is granted in time, is no inversion.
  */
-export class InversionWatch extends DispatchObserver {
+export class InversionCounter extends DispatchObserver {
     readonly tally: InversionTally = { passedOver: 0, preempted: 0 };
     preemptions = 0;
     ejections = 0;
@@ -26,7 +26,7 @@
     }
 
     override granted(granted: WaitingTicket, _grant: Grant): void {
-        this.settle(granted);
+        this.forget(granted);
         for (const waiting of this.waiting.values()) {
             if (waiting.ticket.pool !== granted.ticket.pool || waiting.ticket.tier >= granted.ticket.tier) continue;
             this.passedOver.add(waiting.ticket.request);
@@ -34,9 +34,9 @@
     }
 
     override refused(waiting: WaitingTicket, refusal: Refusal): void {
-        const hasPaid = this.passedOver.has(waiting.ticket.request);
-        if (hasPaid && refusal.reason !== "cancelled" && refusal.reason !== "draining") this.tally.passedOver++;
-        this.settle(waiting);
+        const wasPassedOver = this.passedOver.has(waiting.ticket.request);
+        if (wasPassedOver && refusal.reason !== "cancelled" && refusal.reason !== "draining") this.tally.passedOver++;
+        this.forget(waiting);
     }
 
     override preempted(victim: WaitingTicket, beneficiary: WaitingTicket): void {
@@ -48,7 +48,7 @@
         this.ejections++;
     }
 
-    private settle(waiting: WaitingTicket): void {
+    private forget(waiting: WaitingTicket): void {
         this.waiting.delete(waiting.ticket.request);
         this.passedOver.delete(waiting.ticket.request);
     }
--- a/src/bench/policy/main.ts
+++ b/src/bench/policy/main.ts
@@ -1,4 +1,4 @@
-/** Runs the bench of the decisions: `npm run bench -- --help`. */
+/** Simulates deployments under load and faults to compare policy sets: `npm run bench -- --help`. */
 import { cac } from "cac";
 import { FileDisk } from "../../ports/index.js";
 import { compareWithBaseline, readBaseline, writeBaseline } from "./baseline/index.js";
@@ -32,20 +32,21 @@
 cli.option("--update", "Write bench/BASELINE.json from this run");
 cli.option("--html", "Write bench/report.html");
 cli.help();
-const parsed = cli.parse();
-if (!parsed.options.help) process.exitCode = await runBench(parsed.options as Options);
+const parsedCli = cli.parse();
+if (!parsedCli.options.help) process.exitCode = await runBench(parsedCli.options as Options);
 
 async function runBench(options: Options): Promise<number> {
     const sets = options.ablations ? [...MAIN_SETS, ...ABLATIONS] : MAIN_SETS;
-    const jobs: BenchJob[] = DEPLOYMENTS.filter(({ name }) => isWanted(name, options.deployment)).flatMap(deployment =>
-        SCENARIOS.filter(({ name }) => isWanted(name, options.scenario)).flatMap(scenario =>
-            sets.filter(({ name }) => isWanted(name, options.set)).map(policySet => ({
-                deployment: deployment.name,
-                scenario: scenario.name,
-                policySet: policySet.name,
-                seed: options.seed,
-            }))
-        )
+    const jobs: BenchJob[] = DEPLOYMENTS.filter(({ name }) => matchesFilter(name, options.deployment)).flatMap(
+        deployment =>
+            SCENARIOS.filter(({ name }) => matchesFilter(name, options.scenario)).flatMap(scenario =>
+                sets.filter(({ name }) => matchesFilter(name, options.set)).map(policySet => ({
+                    deployment: deployment.name,
+                    scenario: scenario.name,
+                    policySet: policySet.name,
+                    seed: options.seed,
+                }))
+            ),
     );
     const scores = await runJobs(jobs);
     for (const score of scores) console.log(describeScore(score));
@@ -55,8 +56,8 @@
     return options.check ? check(disk, scores) : 0;
 }
 
-function isWanted(name: string, wanted: string | undefined): boolean {
-    return wanted === undefined || wanted === name;
+function matchesFilter(name: string, filter: string | undefined): boolean {
+    return filter === undefined || filter === name;
 }
 
 async function check(disk: FileDisk, scores: readonly Score[]): Promise<number> {
--- a/src/bench/policy/policySet/index.ts
+++ b/src/bench/policy/policySet/index.ts
@@ -17,20 +17,20 @@
 } from "../../../upstream/index.js";
 import { Deployment } from "../deployment/index.js";
 
-/** All decisions of one run of the bench. */
+/** Combination of policies for all decisions of one run. */
 export interface PolicySet {
     readonly name: string;
     readonly dispatch: DispatchPolicies;
-    /** `owner`: one entry owns each pool's queue; `local`: each entry decides for its own requests. */
+    /** `owner`: one entry owns each pool's queue; `local`: each entry queues and dispatches its own requests. */
     readonly queues: "owner" | "local";
-    /** Continue a cut answer from the last token instead of starting anew. */
-    readonly resumes: boolean;
-    /** Limit retries by a budget. */
+    /** Whether an interrupted answer continues after its last token instead of starting again. */
+    readonly resumesAnswers: boolean;
+    /** Whether a budget limits retries. */
     readonly limitsRetries: boolean;
     readonly createPurchase: (deployment: Deployment) => PurchasePolicy;
 }
 
-/** Steady upstreams for the peak, all the time. */
+/** Keeps enough non-reclaimable upstreams for the peak running throughout. */
 function createStaticOnDemand(deployment: Deployment): PurchasePolicy {
     const counts = deployment.pools.map(({ pool, engines }) => ({
         pool: pool as PoolId,
@@ -40,10 +40,10 @@
     return new StaticPurchase(counts, deployment.zones as ZoneId[]);
 }
 
-/** The surplus is held for a part of the scenario, as it would be for a part of a day. */
+/** Time for which surplus upstreams are kept: a part of the scenario, as the default is a part of a day. */
 const BENCH_HOLD_MS = 20_000;
 
-function createCover(): PurchasePolicy {
+function createCoverPurchase(): PurchasePolicy {
     return new CoverPurchase({ ...DEFAULT_COVER, holdMs: BENCH_HOLD_MS });
 }
 
@@ -51,7 +51,7 @@
     name: "baseline",
     dispatch: BASELINE_POLICIES,
     queues: "local",
-    resumes: false,
+    resumesAnswers: false,
     limitsRetries: false,
     createPurchase: createStaticOnDemand,
 };
@@ -60,24 +60,24 @@
     name: "sequoiamux",
     dispatch: DEFAULT_POLICIES,
     queues: "owner",
-    resumes: true,
+    resumesAnswers: true,
     limitsRetries: true,
-    createPurchase: createCover,
+    createPurchase: createCoverPurchase,
 };
 
-/** Run and compared each time. */
+/** Policy sets that every run of the bench compares. */
 export const MAIN_SETS: readonly PolicySet[] = [
     BASELINE,
     {
         ...SEQUOIAMUX,
         name: "local-two-choices",
         queues: "local",
-        dispatch: { ...DEFAULT_POLICIES, createChoice: parts => new TwoRandomChoices(parts.random) },
+        dispatch: { ...DEFAULT_POLICIES, createChoice: dependencies => new TwoRandomChoices(dependencies.random) },
     },
     SEQUOIAMUX,
 ];
 
-/** One decision taken back to its baseline, the others kept. Run with `--ablations`. */
+/** The shipped policy set with one decision each replaced by a simpler policy; run with `--ablations`. */
 export const ABLATIONS: readonly PolicySet[] = [
     { ...SEQUOIAMUX, name: "static-on-demand", createPurchase: createStaticOnDemand },
     { ...SEQUOIAMUX, name: "fifo", dispatch: { ...DEFAULT_POLICIES, createOrder: () => new FifoOrder() } },
@@ -112,5 +112,5 @@
         dispatch: { ...DEFAULT_POLICIES, createChoice: () => new LeastOutstandingChoice() },
     },
     { ...SEQUOIAMUX, name: "local", queues: "local" },
-    { ...SEQUOIAMUX, name: "no-resume", resumes: false },
+    { ...SEQUOIAMUX, name: "no-resume", resumesAnswers: false },
 ];
--- a/src/bench/policy/run/test.ts
+++ b/src/bench/policy/run/test.ts
@@ -8,15 +8,15 @@
 import { Score } from "../score/index.js";
 import { runScenario } from "./index.js";
 
-const SHORT = { ...SCENARIOS[0], durationMs: 5_000 };
-const SHIPPED = MAIN_SETS.find(({ name }) => name === "sequoiamux")!;
+const SHORT_SCENARIO = { ...SCENARIOS[0], durationMs: 5_000 };
+const SHIPPED_SET = MAIN_SETS.find(({ name }) => name === "sequoiamux")!;
 
 function run(): Promise<Score> {
-    return runScenario(UTILITY, SHORT, SHIPPED);
+    return runScenario(UTILITY, SHORT_SCENARIO, SHIPPED_SET);
 }
 
 describe("runScenario", () => {
-    it("repeats its figures to the digit and settles each request", async () => {
+    it("gives exactly equal figures when repeated and settles each request", async () => {
         const score = await run();
         assert.deepEqual(await run(), score);
         for (const { offered, attained, late, refused, failed } of score.classes) {
@@ -26,7 +26,7 @@
 });
 
 describe("compareWithBaseline", () => {
-    it("passes equal figures and names each one that is worse than its bound", async () => {
+    it("accepts equal figures and reports each one that is worse than its tolerance", async () => {
         const score = await run();
         const disk = new MemoryDisk(new VirtualClock());
         await writeBaseline(disk, [score]);
--- a/src/bench/policy/scenario/index.ts
+++ b/src/bench/policy/scenario/index.ts
@@ -1,62 +1,69 @@
-/** What happens at a moment of a scenario. */
+/** Fault that a scenario injects at a given time. */
 export type ScenarioEvent =
-    | { readonly kind: "straggler"; readonly atMs: number; readonly slowness: number; }
+    | { readonly kind: "straggler"; readonly atMs: number; readonly slowdownFactor: number; }
     | { readonly kind: "crash"; readonly atMs: number; readonly engines: number; }
     | { readonly kind: "reclaim"; readonly atMs: number; readonly noticeMs: number; }
     | { readonly kind: "owner-lost"; readonly atMs: number; };
 
-/** A time in which a class or a workspace brings more than usual. */
+/** Period in which one class gets additional traffic. */
 export interface Burst {
     readonly fromMs: number;
     readonly toMs: number;
-    /** Demand of the burst's pool as a multiple of what the pool can serve. */
+    /** Demand on the class's pool during the burst, as a multiple of the pool's capacity. */
     readonly load: number;
-    /** It is the top class that bursts, not the deployment's usual one. */
-    readonly isTopClass?: boolean;
-    /** The workspace that brings it all; undefined: all of them, by their share. */
+    /** Whether the class of tier 0 gets the burst instead of the deployment's `burstClass`. */
+    readonly targetsTopClass?: boolean;
+    /** Index of the only workspace that sends the burst; undefined: all workspaces, by their share of traffic. */
     readonly workspace?: number;
 }
 
-/** One story that all policy sets are put through, with the same requests. */
+/** Load and faults that every policy set is tested with, using the same requests. */
 export interface Scenario {
     readonly name: string;
     readonly durationMs: number;
     readonly bursts: readonly Burst[];
     readonly events: readonly ScenarioEvent[];
-    /** Reclaimable upstreams that each zone offers of a pool; undefined: as many as are wanted. */
-    readonly reclaimableOffered?: number;
+    /** Maximum of reclaimable upstreams per zone and pool; undefined: the zone's share of the pool's engines. */
+    readonly maxReclaimablePerZone?: number;
+    /** Age of the load that engines report, in milliseconds. */
     readonly reportLagMs: number;
 }
 
 const DURATION_MS = 60_000;
-const BURST = { fromMs: 20_000, toMs: 40_000 };
-const PLAIN = { durationMs: DURATION_MS, bursts: [], events: [], reportLagMs: 300 };
+const BURST_PERIOD = { fromMs: 20_000, toMs: 40_000 };
+const SCENARIO_DEFAULTS = { durationMs: DURATION_MS, bursts: [], events: [], reportLagMs: 300 };
 
+/** All scenarios of the bench. */
 export const SCENARIOS: readonly Scenario[] = [
-    { ...PLAIN, name: "steady" },
-    { ...PLAIN, name: "burst-2x", bursts: [{ ...BURST, load: 2 }] },
-    { ...PLAIN, name: "burst-4x", bursts: [{ ...BURST, load: 4 }] },
-    { ...PLAIN, name: "top-burst", bursts: [{ ...BURST, load: 1.2, isTopClass: true }] },
-    { ...PLAIN, name: "straggler", events: [{ kind: "straggler", atMs: 15_000, slowness: 5 }] },
+    { ...SCENARIO_DEFAULTS, name: "steady" },
+    { ...SCENARIO_DEFAULTS, name: "burst-2x", bursts: [{ ...BURST_PERIOD, load: 2 }] },
+    { ...SCENARIO_DEFAULTS, name: "burst-4x", bursts: [{ ...BURST_PERIOD, load: 4 }] },
+    { ...SCENARIO_DEFAULTS, name: "top-burst", bursts: [{ ...BURST_PERIOD, load: 1.2, targetsTopClass: true }] },
+    { ...SCENARIO_DEFAULTS, name: "straggler", events: [{ kind: "straggler", atMs: 15_000, slowdownFactor: 5 }] },
     {
-        ...PLAIN,
+        ...SCENARIO_DEFAULTS,
         name: "straggler-in-burst",
-        bursts: [{ ...BURST, load: 1.5 }],
-        events: [{ kind: "straggler", atMs: 15_000, slowness: 5 }],
+        bursts: [{ ...BURST_PERIOD, load: 1.5 }],
+        events: [{ kind: "straggler", atMs: 15_000, slowdownFactor: 5 }],
     },
-    { ...PLAIN, name: "crash", events: [{ kind: "crash", atMs: 20_000, engines: 2 }], reportLagMs: 1_500 },
+    { ...SCENARIO_DEFAULTS, name: "crash", events: [{ kind: "crash", atMs: 20_000, engines: 2 }], reportLagMs: 1_500 },
     {
-        ...PLAIN,
+        ...SCENARIO_DEFAULTS,
         name: "reclaim-in-burst",
-        bursts: [{ ...BURST, load: 2 }],
+        bursts: [{ ...BURST_PERIOD, load: 2 }],
         events: [{ kind: "reclaim", atMs: 25_000, noticeMs: 5_000 }],
     },
-    { ...PLAIN, name: "greedy-workspace", bursts: [{ ...BURST, load: 2, workspace: 0 }] },
-    { ...PLAIN, name: "no-cheap-capacity", reclaimableOffered: 0, bursts: [{ ...BURST, load: 1.5 }] },
+    { ...SCENARIO_DEFAULTS, name: "greedy-workspace", bursts: [{ ...BURST_PERIOD, load: 2, workspace: 0 }] },
     {
-        ...PLAIN,
+        ...SCENARIO_DEFAULTS,
+        name: "no-cheap-capacity",
+        maxReclaimablePerZone: 0,
+        bursts: [{ ...BURST_PERIOD, load: 1.5 }],
+    },
+    {
+        ...SCENARIO_DEFAULTS,
         name: "owner-lost",
-        bursts: [{ ...BURST, load: 1.5 }],
+        bursts: [{ ...BURST_PERIOD, load: 1.5 }],
         events: [{ kind: "owner-lost", atMs: 25_000 }],
     },
 ];
--- a/src/bench/policy/score/index.ts
+++ b/src/bench/policy/score/index.ts
@@ -1,15 +1,18 @@
-import { RequestRecord } from "../caller/index.js";
+import { RequestRecord } from "../callerFake/index.js";
 import { Deployment } from "../deployment/index.js";
 import { EngineFake } from "../engineFake/index.js";
 import { fairShares } from "../fairness/index.js";
 import { serveableTokens } from "../serveable/index.js";
 
-/** How one class fared, in requests. */
+/** Outcomes of one class, in numbers of requests. */
 export interface ClassScore {
     readonly className: string;
     readonly tier: number;
+    /** All requests that callers sent. */
     readonly offered: number;
+    /** Answered within the targets of the class. */
     readonly attained: number;
+    /** Answered, but not within the targets. */
     readonly late: number;
     readonly refused: number;
     readonly failed: number;
@@ -21,76 +24,84 @@
     readonly scenario: string;
     readonly policySet: string;
     readonly classes: readonly ClassScore[];
+    /** Share of tier 0 requests that attained their targets. */
     readonly topAttainment: number;
-    /** The same without requests whose caller was connected to a host that was lost. */
+    /** The same without requests whose caller was connected to an entry that crashed. */
     readonly topAttainmentElsewhere: number;
+    /** Share of all requests that attained their targets. */
     readonly attainment: number;
-    /** Tokens of attained requests beside what the running engines could have served in time. */
+    /** Tokens of attained requests as a share of those that the running engines could have served in time. */
     readonly goodput: number;
-    /** Of all tokens computed. */
+    /** Wasted tokens as a share of all tokens computed. */
     readonly wasted: number;
-    /** Of its weighted fair share. */
+    /** Attained tokens of the worst-served workspace as a share of its weighted fair share. */
     readonly worstServed: number;
+    /** Sum of the priority inversions that `InversionCounter` counts. */
     readonly inversions: number;
-    /** In micro-credits. */
+    /** Cost per attained request, in micro-credits. */
     readonly costPerAttained: number;
+    /** Share of delivered tokens that reclaimable engines generated. */
     readonly reclaimableShare: number;
     readonly preemptions: number;
 }
 
-/** What a run leaves to be scored. */
+/** Results of a run from which its score is computed. */
 export interface RunOutcome {
     readonly deployment: Deployment;
     readonly scenario: string;
     readonly policySet: string;
     readonly records: readonly RequestRecord[];
     readonly engines: readonly EngineFake[];
+    /** Cost of all engines, in micro-credits. */
     readonly bill: number;
     readonly inversions: number;
     readonly preemptions: number;
 }
 
-/** Whether a request was answered whole and within its class's targets. */
+/** Whether a request was answered completely and within its class's targets. */
 export function isAttained(record: RequestRecord): boolean {
     if (record.outcome !== "answered" || record.firstTokenAt === undefined) return false;
-    const { shape, atMs, answerTokens } = record.planned;
-    if (record.firstTokenAt - atMs > shape.firstTokenMs) return false;
-    return (record.endedAt! - record.firstTokenAt) / Math.max(1, answerTokens - 1) <= shape.tokenMs;
+    const { classProfile: profile, atMs, answerTokens } = record.planned;
+    if (record.firstTokenAt - atMs > profile.firstTokenMs) return false;
+    return (record.endedAt! - record.firstTokenAt) / Math.max(1, answerTokens - 1) <= profile.tokenMs;
 }
 
-/** Works out the figures of a run. */
+/** Computes the figures of a run. */
 export function scoreRun(run: RunOutcome): Score {
-    const classes = run.deployment.classes.map(shape => scoreClass(shape.name, shape.tier, run.records));
+    const classes = run.deployment.classes.map(profile => scoreClass(profile.name, profile.tier, run.records));
     const attained = run.records.filter(isAttained);
-    const computed = run.engines.reduce((sum, { tally }) => sum + tally.generated + tally.prefilled, 0);
-    const delivered = sumTokens(run.records, record => record.delivered);
+    const totalComputed = run.engines.reduce(
+        (sum, { computedTokens }) => sum + computedTokens.generated + computedTokens.prefilled,
+        0,
+    );
+    const deliveredTokens = sumTokens(run.records, record => record.deliveredTokens);
     const top = classes.filter(score => score.tier === 0);
-    const topElsewhere = run.records.filter(record => record.planned.shape.tier === 0 && !record.hasLostEntry);
+    const topElsewhere = run.records.filter(record => record.planned.classProfile.tier === 0 && !record.hasLostEntry);
     return {
         deployment: run.deployment.name,
         scenario: run.scenario,
         policySet: run.policySet,
         classes,
-        topAttainment: share(sumOf(top, score => score.attained), sumOf(top, score => score.offered)),
-        topAttainmentElsewhere: share(topElsewhere.filter(isAttained).length, topElsewhere.length),
-        attainment: share(attained.length, run.records.length),
-        goodput: share(sumTokens(attained, record => record.planned.answerTokens), findServeable(run)),
-        wasted: share(sumTokens(run.records, record => record.wasted), computed),
-        worstServed: findWorstServed(run),
+        topAttainment: ratio(sumOf(top, score => score.attained), sumOf(top, score => score.offered)),
+        topAttainmentElsewhere: ratio(topElsewhere.filter(isAttained).length, topElsewhere.length),
+        attainment: ratio(attained.length, run.records.length),
+        goodput: ratio(sumTokens(attained, record => record.planned.answerTokens), sumServeableTokens(run)),
+        wasted: ratio(sumTokens(run.records, record => record.wastedTokens), totalComputed),
+        worstServed: findLowestFairShare(run),
         inversions: run.inversions,
-        costPerAttained: share(run.bill, attained.length),
-        reclaimableShare: share(sumTokens(run.records, record => record.reclaimableTokens), delivered),
+        costPerAttained: ratio(run.bill, attained.length),
+        reclaimableShare: ratio(sumTokens(run.records, record => record.reclaimableTokens), deliveredTokens),
         preemptions: run.preemptions,
     };
 }
 
 function scoreClass(className: string, tier: number, records: readonly RequestRecord[]): ClassScore {
-    const own = records.filter(record => record.planned.shape.name === className);
-    const count = (isMeant: (record: RequestRecord) => boolean): number => own.filter(isMeant).length;
+    const classRecords = records.filter(record => record.planned.classProfile.name === className);
+    const count = (matches: (record: RequestRecord) => boolean): number => classRecords.filter(matches).length;
     return {
         className,
         tier,
-        offered: own.length,
+        offered: classRecords.length,
         attained: count(isAttained),
         late: count(record => record.outcome === "answered" && !isAttained(record)),
         refused: count(record => record.outcome === "refused"),
@@ -98,35 +109,42 @@
     };
 }
 
-function findServeable(run: RunOutcome): number {
+function sumServeableTokens(run: RunOutcome): number {
     return run.deployment.pools.reduce((sum, pool) => {
-        const engines = run.engines.filter(engine => engine.shape.pool === pool.pool);
-        const requests = run.records.map(record => record.planned).filter(({ shape }) => shape.pool === pool.pool);
+        const engines = run.engines.filter(engine => engine.profile.pool === pool.pool);
+        const requests = run.records.map(record => record.planned).filter(({ classProfile: profile }) =>
+            profile.pool === pool.pool
+        );
         return sum + serveableTokens(pool, engines, requests);
     }, 0);
 }
 
-/** Tiers come before fairness: the fair share is taken within each class, then summed. */
-function findWorstServed(run: RunOutcome): number {
+/**
+ * Returns the lowest ratio of attained tokens to fair share among the workspaces. Fair shares are computed within each
+ * class and then summed, since tiers take precedence over fairness.
+ */
+function findLowestFairShare(run: RunOutcome): number {
     const { workspaces, classes } = run.deployment;
-    const served = workspaces.map(() => 0);
-    const fair = workspaces.map(() => 0);
-    for (const shape of classes) {
+    const servedTokens = workspaces.map(() => 0);
+    const fairTokens = workspaces.map(() => 0);
+    for (const profile of classes) {
         const services = workspaces.map(workspace => {
-            const own = run.records.filter(({ planned }) =>
-                planned.shape.name === shape.name && planned.workspace.id === workspace.id
+            const classRecords = run.records.filter(({ planned }) =>
+                planned.classProfile.name === profile.name && planned.workspace.id === workspace.id
             );
-            const asked = sumTokens(own, record => record.planned.answerTokens);
-            const got = sumTokens(own.filter(isAttained), record => record.planned.answerTokens);
-            return { weight: workspace.weight, asked, served: got };
+            const requestedTokens = sumTokens(classRecords, record => record.planned.answerTokens);
+            const attainedTokens = sumTokens(classRecords.filter(isAttained), record => record.planned.answerTokens);
+            return { weight: workspace.weight, requestedTokens, servedTokens: attainedTokens };
         });
         const shares = fairShares(services);
         services.forEach((service, index) => {
-            served[index] += service.served;
-            fair[index] += shares[index];
+            servedTokens[index] += service.servedTokens;
+            fairTokens[index] += shares[index];
         });
     }
-    return Math.min(...workspaces.map((_, index) => fair[index] === 0 ? 1 : served[index] / fair[index]));
+    return Math.min(
+        ...workspaces.map((_, index) => fairTokens[index] === 0 ? 1 : servedTokens[index] / fairTokens[index]),
+    );
 }
 
 function sumTokens(records: readonly RequestRecord[], read: (record: RequestRecord) => number): number {
@@ -137,6 +155,6 @@
     return items.reduce((sum, item) => sum + read(item), 0);
 }
 
-function share(part: number, whole: number): number {
+function ratio(part: number, whole: number): number {
     return whole === 0 ? 0 : part / whole;
 }
--- a/src/bench/policy/traffic/index.ts
+++ b/src/bench/policy/traffic/index.ts
@@ -1,36 +1,39 @@
 import { Random } from "../../../ports/index.js";
-import { ClassShape, Deployment, PoolShape, WorkspaceShape } from "../deployment/index.js";
-import { STEP_TOKENS } from "../engineFake/index.js";
+import { ClassProfile, Deployment, PoolProfile, WorkspaceProfile } from "../deployment/index.js";
+import { TOKENS_PER_STEP } from "../engineFake/index.js";
 import { Burst, Scenario } from "../scenario/index.js";
 
-/** One request that a caller will make. */
+/** Request that a caller sends at a given time of the scenario. */
 export interface PlannedRequest {
     readonly id: string;
+    /** Time of sending, in milliseconds after the start of the scenario. */
     readonly atMs: number;
-    readonly shape: ClassShape;
-    readonly workspace: WorkspaceShape;
+    readonly classProfile: ClassProfile;
+    readonly workspace: WorkspaceProfile;
     readonly promptTokens: number;
     readonly answerTokens: number;
     readonly prefixes: readonly string[];
 }
 
-/** The spread of answer lengths: some answers are several times the median. */
+/** Sigma of the log-normal answer lengths: some answers are several times the median. */
 const LENGTH_SIGMA = 0.5;
-const LEAST_ANSWER = 4;
-/** Prompts of a workspace and class share one of this many second prefixes. */
-const CONVERSATIONS = 6;
+const MIN_ANSWER_TOKENS = 4;
+/** Number of second prefixes from which each prompt of a workspace and class draws one. */
+const CONVERSATIONS_PER_WORKSPACE = 6;
+/** Additional time for each token in a full batch, as a share of the time in an empty one. */
 export const BATCH_SLOWDOWN = 0.5;
 
 /**
- * Draws all requests of a scenario ahead, so that each policy set meets the same ones.
+ * Draws all requests of a scenario in advance, so that every policy set gets the same ones.
  *
- * @param random - Seeded.
+ * @param random - Seeded generator.
+ * @returns The requests in the order of their times.
  */
 export function planTraffic(deployment: Deployment, scenario: Scenario, random: Random): readonly PlannedRequest[] {
     const requests: PlannedRequest[] = [];
-    for (const shape of deployment.classes) {
-        drawArrivals(shape.perSecond, 0, scenario.durationMs, random, atMs => {
-            requests.push(drawRequest(deployment, shape, atMs, random));
+    for (const profile of deployment.classes) {
+        drawArrivals(profile.perSecond, 0, scenario.durationMs, random, atMs => {
+            requests.push(drawRequest(deployment, profile, atMs, random));
         });
     }
     for (const burst of scenario.bursts) addBurst(deployment, burst, random, requests);
@@ -38,36 +41,40 @@
     return requests.map((request, index) => ({ ...request, id: `${deployment.name}-${scenario.name}-${index}` }));
 }
 
-/** How long a request holds a slot of a full engine when its prefixes are cached, in milliseconds: whole steps. */
-export function idealSlotMs(request: PlannedRequest, pool: PoolShape): number {
-    const freshTokens = request.promptTokens / (request.prefixes.length + 1);
-    const paceMs = pool.tokenMs * (1 + BATCH_SLOWDOWN);
-    const slotMs = freshTokens * pool.prefillTokenMs + request.answerTokens * paceMs;
-    const stepMs = STEP_TOKENS * paceMs;
+/**
+ * Returns the time for which a request occupies a slot of a full engine when its prefixes are cached, in milliseconds,
+ * rounded up to whole simulation steps.
+ */
+export function idealSlotMs(request: PlannedRequest, pool: PoolProfile): number {
+    const uncachedTokens = request.promptTokens / (request.prefixes.length + 1);
+    const tokenIntervalMs = pool.tokenMs * (1 + BATCH_SLOWDOWN);
+    const slotMs = uncachedTokens * pool.prefillTokenMs + request.answerTokens * tokenIntervalMs;
+    const stepMs = TOKENS_PER_STEP * tokenIntervalMs;
     return Math.ceil(slotMs / stepMs) * stepMs;
 }
 
 function addBurst(deployment: Deployment, burst: Burst, random: Random, requests: PlannedRequest[]): void {
-    const isMeant = (other: ClassShape): boolean =>
-        burst.isTopClass ? other.tier === 0 : other.name === deployment.burstClass;
-    const shape = deployment.classes.find(isMeant)!;
-    const added = burstPerSecond(deployment, shape, burst.load);
+    const matches = (candidate: ClassProfile): boolean =>
+        burst.targetsTopClass ? candidate.tier === 0 : candidate.name === deployment.burstClass;
+    const profile = deployment.classes.find(matches)!;
+    const addedPerSecond = burstPerSecond(deployment, profile, burst.load);
     const workspace = burst.workspace === undefined ? undefined : deployment.workspaces[burst.workspace];
-    drawArrivals(added, burst.fromMs, burst.toMs, random, atMs => {
-        requests.push(drawRequest(deployment, shape, atMs, random, workspace));
+    drawArrivals(addedPerSecond, burst.fromMs, burst.toMs, random, atMs => {
+        requests.push(drawRequest(deployment, profile, atMs, random, workspace));
     });
 }
 
-/** What the burst adds so that the pool's whole demand is `load` times what its engines can serve. */
-function burstPerSecond(deployment: Deployment, shape: ClassShape, load: number): number {
-    const pool = deployment.pools.find(other => other.pool === shape.pool)!;
-    const slotSeconds = (other: ClassShape): number => {
-        const mean = other.answerTokens * Math.exp(LENGTH_SIGMA ** 2 / 2);
-        return (other.promptTokens * pool.prefillTokenMs / 3 + mean * pool.tokenMs * (1 + BATCH_SLOWDOWN)) / 1_000;
+/** Returns the additional requests per second that raise the pool's demand to `load` times its engines' capacity. */
+function burstPerSecond(deployment: Deployment, profile: ClassProfile, load: number): number {
+    const pool = deployment.pools.find(candidate => candidate.pool === profile.pool)!;
+    const slotSeconds = (candidate: ClassProfile): number => {
+        const meanAnswerTokens = candidate.answerTokens * Math.exp(LENGTH_SIGMA ** 2 / 2);
+        return (candidate.promptTokens * pool.prefillTokenMs / 3
+            + meanAnswerTokens * pool.tokenMs * (1 + BATCH_SLOWDOWN)) / 1_000;
     };
-    const steady = deployment.classes.filter(other => other.pool === shape.pool)
-        .reduce((sum, other) => sum + other.perSecond * slotSeconds(other), 0);
-    return Math.max(0, load * pool.engines * pool.slots - steady) / slotSeconds(shape);
+    const steady = deployment.classes.filter(candidate => candidate.pool === profile.pool)
+        .reduce((sum, candidate) => sum + candidate.perSecond * slotSeconds(candidate), 0);
+    return Math.max(0, load * pool.engines * pool.slots - steady) / slotSeconds(profile);
 }
 
 function drawArrivals(
@@ -75,44 +82,44 @@
     fromMs: number,
     toMs: number,
     random: Random,
-    take: (atMs: number) => void,
+    onArrival: (atMs: number) => void,
 ): void {
     let atMs = fromMs;
     for (;;) {
         atMs += -Math.log(1 - random.next()) / perSecond * 1_000;
         if (atMs >= toMs) return;
-        take(atMs);
+        onArrival(atMs);
     }
 }
 
 function drawRequest(
     deployment: Deployment,
-    shape: ClassShape,
+    profile: ClassProfile,
     atMs: number,
     random: Random,
-    fixed?: WorkspaceShape,
+    fixedWorkspace?: WorkspaceProfile,
 ): PlannedRequest {
-    const workspace = fixed ?? pickWorkspace(deployment.workspaces, random);
-    const gauss = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
-    const answer = Math.round(shape.answerTokens * Math.exp(LENGTH_SIGMA * gauss));
-    const head = `${shape.name}/${workspace.id}`;
+    const workspace = fixedWorkspace ?? pickWorkspace(deployment.workspaces, random);
+    const standardNormal = Math.sqrt(-2 * Math.log(1 - random.next())) * Math.cos(2 * Math.PI * random.next());
+    const answerTokens = Math.round(profile.answerTokens * Math.exp(LENGTH_SIGMA * standardNormal));
+    const workspacePrefix = `${profile.name}/${workspace.id}`;
     return {
         id: "",
         atMs,
-        shape,
+        classProfile: profile,
         workspace,
-        promptTokens: Math.round(shape.promptTokens * random.between(0.8, 1.2)),
-        answerTokens: Math.min(shape.maxTokens, Math.max(LEAST_ANSWER, answer)),
-        prefixes: [head, `${head}/${random.integer(0, CONVERSATIONS)}`],
+        promptTokens: Math.round(profile.promptTokens * random.between(0.8, 1.2)),
+        answerTokens: Math.min(profile.maxTokens, Math.max(MIN_ANSWER_TOKENS, answerTokens)),
+        prefixes: [workspacePrefix, `${workspacePrefix}/${random.integer(0, CONVERSATIONS_PER_WORKSPACE)}`],
     };
 }
 
-function pickWorkspace(workspaces: readonly WorkspaceShape[], random: Random): WorkspaceShape {
-    const all = workspaces.reduce((sum, workspace) => sum + workspace.traffic, 0);
-    let at = random.between(0, all);
+function pickWorkspace(workspaces: readonly WorkspaceProfile[], random: Random): WorkspaceProfile {
+    const totalTraffic = workspaces.reduce((sum, workspace) => sum + workspace.traffic, 0);
+    let remaining = random.between(0, totalTraffic);
     for (const workspace of workspaces) {
-        at -= workspace.traffic;
-        if (at < 0) return workspace;
+        remaining -= workspace.traffic;
+        if (remaining < 0) return workspace;
     }
     return workspaces[workspaces.length - 1];
 }
--- a/src/bench/policy/worker.ts
+++ b/src/bench/policy/worker.ts
@@ -1,4 +1,4 @@
-/** One thread of the bench: runs the jobs that it is given and sends back their scores. */
+/** Worker thread of the bench: runs the jobs from `workerData` one after another and posts their scores back. */
 import { parentPort, workerData } from "node:worker_threads";
 import { BenchJob, runJob } from "./jobs/index.js";
 import { Score } from "./score/index.js";
