--- a/src/bench/controlLog/main.ts
+++ b/src/bench/controlLog/main.ts
@@ -1,5 +1,6 @@
 /**
- * Speed and cost of the control log: replicas in this process, over TCP on loopback and files in a folder.
+ * Measures the throughput, latency and idle cost of the control log, with all replicas in this process, loopback TCP and
+ * data files in a folder.
  * `node dist/bench/controlLog/main.js --folder /tmp/control-log-bench --entries 20000`
  */
 import { cac } from "cac";
@@ -21,15 +22,15 @@
 } from "../../ports/index.js";
 import { DEFAULT_PEER_TIMING, PeerRouter, servePeers } from "../../wire/index.js";
 
-const LATENCY_SAMPLES = 1_000;
-const IDLE_MS = 20_000;
-const COMMAND = { kind: "bench", key: "k".repeat(40), value: "v".repeat(120) };
-const IN_FLIGHT = [1, 16, 256];
+const LATENCY_SAMPLE_COUNT = 1_000;
+const IDLE_RUN_MS = 20_000;
+const SAMPLE_COMMAND = { kind: "bench", key: "k".repeat(40), value: "v".repeat(120) };
+const CONCURRENCY_LEVELS = [1, 16, 256];
 
-/** Counts what is sent. */
+/** Counts the sends and bytes of all connections. */
 class CountingNetwork extends Network {
     sentBytes = 0;
-    sends = 0;
+    sendCount = 0;
 
     constructor(private readonly network: Network) {
         super();
@@ -47,7 +48,7 @@
     private count(connection: Connection): Connection {
         const send = connection.send.bind(connection);
         connection.send = bytes => {
-            this.sends++;
+            this.sendCount++;
             this.sentBytes += bytes.length;
             send(bytes);
         };
@@ -55,8 +56,8 @@
     }
 }
 
-/** Keeps the number of commands only, so that the log's own cost is measured. */
-class Counter extends StateMachine {
+/** Only counts the commands, so that the figures show the cost of the log itself. */
+class CountingStateMachine extends StateMachine {
     private count = 0;
 
     apply(_command: unknown, { index }: ApplyContext): unknown {
@@ -88,37 +89,37 @@
     close(): Promise<void>;
 }
 
-function anyPorts(replicas: number): Address[] {
+function makeListenAddresses(replicas: number): Address[] {
     return Array.from({ length: replicas }, () => ({ host: "127.0.0.1", port: 0 }));
 }
 
 async function openReplicas({ folder, entries }: BenchOptions, addresses: readonly Address[]): Promise<Replicas> {
-    const hosts = addresses.map((_, place) => `host-${place}`);
+    const hosts = addresses.map((_, index) => `host-${index}`);
     const routers = hosts.map(() => new PeerRouter());
     const identities = hosts.map(host => ({ host: host as HostId, incarnation: "bench" as Incarnation }));
-    const listeners = await Promise.all(hosts.map((_, place) =>
+    const listeners = await Promise.all(hosts.map((_, index) =>
         servePeers({
             network,
             clock,
-            address: addresses[place],
-            self: identities[place],
-            router: routers[place],
+            address: addresses[index],
+            self: identities[index],
+            router: routers[index],
             timing: DEFAULT_PEER_TIMING,
         })
     ));
-    const bootstrap = identities.map(({ host }, place) => ({ host, address: listeners[place].address }));
-    const open = (self: typeof identities[0], place: number): Promise<ReplicatedLog> =>
+    const bootstrap = identities.map(({ host }, index) => ({ host, address: listeners[index].address }));
+    const open = (self: typeof identities[0], index: number): Promise<ReplicatedLog> =>
         ReplicatedLog.open({
             network,
             clock,
             random: new SystemRandom(),
             disk: new FileDisk(`${folder}/${self.host}`),
-            router: routers[place],
+            router: routers[index],
             self,
-            address: listeners[place].address,
+            address: listeners[index].address,
             bootstrap,
-            stateMachine: new Counter(),
-            timing: { ...DEFAULT_LOG_TIMING, snapshotEntries: 2 * entries + 10 * LATENCY_SAMPLES },
+            stateMachine: new CountingStateMachine(),
+            timing: { ...DEFAULT_LOG_TIMING, snapshotEntries: 2 * entries + 10 * LATENCY_SAMPLE_COUNT },
             logger: new SilentLogger(),
         });
     const logs = await Promise.all(identities.map(open));
@@ -129,7 +130,7 @@
     return { logs, addresses: listeners.map(({ address }) => address), close };
 }
 
-async function findHolder(logs: readonly ReplicatedLog[]): Promise<ReplicatedLog> {
+async function awaitLeaseHolder(logs: readonly ReplicatedLog[]): Promise<ReplicatedLog> {
     for (;;) {
         const holder = logs.find(log => log.holdsLease());
         if (holder) return holder;
@@ -140,16 +141,16 @@
 async function measureProposals(holder: ReplicatedLog, count: number, inFlight: number): Promise<void> {
     const latencies = build();
     let started = 0;
-    const proposeInTurn = async (): Promise<void> => {
+    const proposeSequentially = async (): Promise<void> => {
         while (started < count) {
             started++;
             const sentAt = clock.monotonic();
-            (await holder.propose(COMMAND)).unsafeCoerce();
+            (await holder.propose(SAMPLE_COMMAND)).unsafeCoerce();
             latencies.recordValue(Math.round((clock.monotonic() - sentAt) * 1_000));
         }
     };
     const before = clock.monotonic();
-    await Promise.all(Array.from({ length: inFlight }, proposeInTurn));
+    await Promise.all(Array.from({ length: inFlight }, proposeSequentially));
     const seconds = (clock.monotonic() - before) / 1_000;
     const [p50, p99] = [50, 99].map(percentile => latencies.getValueAtPercentile(percentile) / 1_000);
     console.log(`${inFlight} in flight: ${Math.round(count / seconds)}/s, p50 ${p50} ms, p99 ${p99} ms`);
@@ -157,14 +158,14 @@
 
 async function measureIdle(replicas: number): Promise<void> {
     await clock.sleep(1_000);
-    const [bytes, sends, cpu] = [network.sentBytes, network.sends, process.cpuUsage()];
-    await clock.sleep(IDLE_MS);
+    const [bytes, sendCount, cpu] = [network.sentBytes, network.sendCount, process.cpuUsage()];
+    await clock.sleep(IDLE_RUN_MS);
     const { user, system } = process.cpuUsage(cpu);
-    const seconds = IDLE_MS / 1_000;
+    const seconds = IDLE_RUN_MS / 1_000;
     const perSecond = (total: number): number => Math.round(total / seconds / replicas);
     console.log(
         `idle, per replica: ${perSecond(network.sentBytes - bytes)} B/s in ${
-            perSecond(network.sends - sends)
+            perSecond(network.sendCount - sendCount)
         } sends/s, `
             + `${((user + system) / seconds / replicas / 10_000).toFixed(2)}% of a core`,
     );
@@ -176,7 +177,7 @@
     console.log(`opening all folders: ${Math.round(clock.monotonic() - before)} ms`);
     const startedAt = clock.monotonic();
     for (const log of logs) log.start();
-    const holder = await findHolder(logs);
+    const holder = await awaitLeaseHolder(logs);
     console.log(
         `${holder.appliedIndex()} entries applied; lease held ${
             Math.round(clock.monotonic() - startedAt)
@@ -187,12 +188,12 @@
 
 async function runBench(options: BenchOptions): Promise<void> {
     const { entries, replicas } = options;
-    const { logs, addresses, close } = await openReplicas(options, anyPorts(replicas));
+    const { logs, addresses, close } = await openReplicas(options, makeListenAddresses(replicas));
     for (const log of logs) log.start();
-    const holder = await findHolder(logs);
-    await measureProposals(holder, LATENCY_SAMPLES, 1);
-    for (const inFlight of IN_FLIGHT) {
-        await measureProposals(holder, inFlight === 1 ? LATENCY_SAMPLES : entries, inFlight);
+    const holder = await awaitLeaseHolder(logs);
+    await measureProposals(holder, LATENCY_SAMPLE_COUNT, 1);
+    for (const inFlight of CONCURRENCY_LEVELS) {
+        await measureProposals(holder, inFlight === 1 ? LATENCY_SAMPLE_COUNT : entries, inFlight);
     }
     await measureIdle(replicas);
     await close();
