--- a/src/bench/slopes/capacity/_lib/section.ts
+++ b/src/bench/slopes/capacity/_lib/section.ts
@@ -1,53 +1,54 @@
-/** One figure of a role at the letter's size. */
+/** Table row with one value of a component at `TARGET_SIZE`. */
 export interface CapacityRow {
-    readonly what: string;
-    /** How the figure comes about. */
+    /** What the value is about. */
+    readonly subject: string;
+    /** Calculation of the value, in words. */
     readonly arithmetic: string;
     readonly value: string;
-    /** Left out where the letter gives no budget. */
+    /** Comparison with the budget; omitted where there is none. */
     readonly verdict?: string;
 }
 
-/** What a part costs each node, for the sum over all parts. */
+/** Load of a component on each node, for the sum over all components. */
 export interface NodeLoad {
-    /** Milliseconds of processor time a second. */
+    /** Processor time in milliseconds per second. */
     readonly processorMs: number;
     readonly bytesPerSecond: number;
 }
 
-/** What a part costs each node today, and with the mechanisms that replace what breaks a budget. */
+/** Load of a component on each node in today's code, and with the mechanisms designed to meet the budgets. */
 export interface NodeLoads {
     readonly today: NodeLoad;
-    readonly next: NodeLoad;
+    readonly designed: NodeLoad;
 }
 
-/** A role, or a part of one, at the letter's size. */
+/** Section of the page on one component at `TARGET_SIZE`. */
 export interface RoleSection {
     readonly title: string;
-    /** What carries it in today's code. */
+    /** How today's code works. */
     readonly today: string;
     readonly rows: readonly CapacityRow[];
-    /** What breaks a budget and what replaces it, one paragraph each. What today's code does not have says so. */
-    readonly next: readonly string[];
-    /** Left out for what does not fall on each node. */
+    /** Exceeded budgets and the mechanisms designed to meet them, as paragraphs; `NOT_BUILT` marks what doesn't exist yet. */
+    readonly designed: readonly string[];
+    /** Omitted for a component that doesn't run on every node. */
     readonly loads?: NodeLoads;
 }
 
-/** Marks what is designed and not built. */
+/** Marks mechanisms that are designed but not implemented. */
 export const NOT_BUILT = "**Not in today's code.**";
 
-/** Judges a figure by its budget. */
-export function judge(value: number, budget: number): string {
-    const share = value / budget;
-    const percent = share < 10 ? `${Math.round(share * 100)} %` : `${Math.round(share)} times`;
-    return share <= 1 ? `fits, ${percent}` : `**breaks it, ${percent}**`;
+/** Formats whether a value fits its budget, and its share of the budget. */
+export function formatVerdict(value: number, budget: number): string {
+    const ratio = value / budget;
+    const percent = ratio < 10 ? `${Math.round(ratio * 100)} %` : `${Math.round(ratio)} times`;
+    return ratio <= 1 ? `fits, ${percent}` : `**breaks it, ${percent}**`;
 }
 
-/** Writes a section as Markdown. */
-export function formatSection({ title, today, rows, next }: RoleSection): string {
-    const lines = rows.map(row => `| ${row.what} | ${row.arithmetic} | ${row.value} | ${row.verdict ?? ""} |`);
+/** Formats a section as Markdown. */
+export function formatSection({ title, today, rows, designed }: RoleSection): string {
+    const lines = rows.map(row => `| ${row.subject} | ${row.arithmetic} | ${row.value} | ${row.verdict ?? ""} |`);
     const table = ["| what | arithmetic | at the letter's size | budget |", "| --- | --- | --- | --- |", ...lines].join(
         "\n",
     );
-    return [`## ${title}`, today, table, ...next].join("\n\n");
+    return [`## ${title}`, today, table, ...designed].join("\n\n");
 }
--- a/src/bench/slopes/capacity/_lib/size.ts
+++ b/src/bench/slopes/capacity/_lib/size.ts
@@ -1,5 +1,5 @@
-/** The size of the users' first letter, and what follows from it. */
-export const SIZE = {
+/** System size that the users expect in about two years, for which capacity is computed. */
+export const TARGET_SIZE = {
     nodes: 410,
     upstreams: 1_800,
     requestsPerSecond: 7_900,
@@ -16,7 +16,7 @@
     controlHosts: 9,
 } as const;
 
-/** What a node may spend on control, and how soon a change must be in force. */
+/** Budgets for control on a node, and the time within which a change must be in force. */
 export const BUDGET = {
     processorMsPerSecond: 13,
     memoryBytes: 128_000_000,
@@ -24,9 +24,9 @@
     inForceMs: 7_000,
 } as const;
 
-/** What the letter does not say and the page takes for granted. */
-export const ASSUMED = {
-    /** The busiest second of a day beside the mean: changes come in bursts. */
+/** Assumptions where the users' requirements give no figure. */
+export const ASSUMPTIONS = {
+    /** Ratio of the busiest second of a day to the mean: changes come in bursts. */
     changePeak: 10,
     /** Bytes of IP and TCP headers on each packet, with timestamps. */
     packetBytes: 52,
@@ -35,10 +35,10 @@
     /** Different pools and classes that a workspace uses within a usage window. */
     linesPerWorkspace: 1.5,
     windowSeconds: 60,
-    /** One request in so many is a call that must not be repeated. */
+    /** One request in this number is a call that must not be repeated. */
     callsOneIn: 20,
     callRetentionSeconds: 86_400,
-    /** Changes of the list of entries by one restart (draining, gone, back) and by one failure (gone, back). */
+    /** Changes of the list of entries per restart (draining, gone, back) and per failure (gone, back). */
     listChangesByRestart: 3,
     listChangesByFailure: 2,
     regionRoundTripMs: 150,
@@ -46,16 +46,17 @@
 
 const DAY_SECONDS = 86_400;
 
-/** What one node has to do. */
-export const NODE = {
-    requestsPerSecond: SIZE.requestsPerSecond / SIZE.nodes,
-    tokensPerSecond: SIZE.tokensPerSecond / SIZE.nodes,
-    announcementsPerSecond: SIZE.upstreams * ASSUMED.announcementsPerSecond / SIZE.nodes,
-    openStreams: SIZE.requestsPerSecond / SIZE.nodes
-        * (SIZE.tokensPerSecond / SIZE.requestsPerSecond * SIZE.tokenMs / 1_000 + SIZE.firstTokenSeconds),
-    changesPerSecond: SIZE.changesPerDay / DAY_SECONDS,
-    queues: SIZE.models * SIZE.regions,
-    listChangesPerDay: SIZE.restartsPerDay * ASSUMED.listChangesByRestart
-        + SIZE.failuresPerDay * ASSUMED.listChangesByFailure,
+/** Share of the load that falls on one node. */
+export const PER_NODE = {
+    requestsPerSecond: TARGET_SIZE.requestsPerSecond / TARGET_SIZE.nodes,
+    tokensPerSecond: TARGET_SIZE.tokensPerSecond / TARGET_SIZE.nodes,
+    announcementsPerSecond: TARGET_SIZE.upstreams * ASSUMPTIONS.announcementsPerSecond / TARGET_SIZE.nodes,
+    openStreams: TARGET_SIZE.requestsPerSecond / TARGET_SIZE.nodes
+        * (TARGET_SIZE.tokensPerSecond / TARGET_SIZE.requestsPerSecond * TARGET_SIZE.tokenMs / 1_000
+            + TARGET_SIZE.firstTokenSeconds),
+    changesPerSecond: TARGET_SIZE.changesPerDay / DAY_SECONDS,
+    queues: TARGET_SIZE.models * TARGET_SIZE.regions,
+    listChangesPerDay: TARGET_SIZE.restartsPerDay * ASSUMPTIONS.listChangesByRestart
+        + TARGET_SIZE.failuresPerDay * ASSUMPTIONS.listChangesByFailure,
     secondsPerDay: DAY_SECONDS,
 } as const;
--- a/src/bench/slopes/capacity/_lib/totals.ts
+++ b/src/bench/slopes/capacity/_lib/totals.ts
@@ -1,17 +1,17 @@
 import { formatBytes, formatNumber } from "./format.js";
-import { judge, NodeLoad, NodeLoads, RoleSection } from "./section.js";
+import { formatVerdict, NodeLoad, NodeLoads, RoleSection } from "./section.js";
 import { BUDGET } from "./size.js";
 
 interface TitledLoads extends NodeLoads {
     readonly title: string;
 }
 
-/** Sums what the parts cost each node, today and with the mechanisms that this page names. */
+/** Formats the sum of all components' load on a node, in today's code and with the designed mechanisms. */
 export function formatTotals(sections: readonly RoleSection[]): string {
-    const parts = sections.flatMap(({ title, loads }): TitledLoads[] => loads ? [{ title, ...loads }] : []);
-    const rows = parts.map(({ title, today, next }) => formatRow(title, today, next));
-    const today = addUp(parts.map(part => part.today));
-    const next = addUp(parts.map(part => part.next));
+    const titledLoads = sections.flatMap(({ title, loads }): TitledLoads[] => loads ? [{ title, ...loads }] : []);
+    const rows = titledLoads.map(({ title, today, designed }) => formatRow(title, today, designed));
+    const today = sumLoads(titledLoads.map(part => part.today));
+    const designed = sumLoads(titledLoads.map(part => part.designed));
     return `## One node in all
 
 Control on a node that is an entry, without the work of a pool's owner today and with that of one shard in the design. Tickets
@@ -21,11 +21,11 @@
 | part | today, processor | today, bytes | designed, processor | designed, bytes |
 | --- | --- | --- | --- | --- |
 ${rows.join("\n")}
-${formatRow("**sum**", today, next)}
-| budget | ${judge(today.processorMs, BUDGET.processorMsPerSecond)} | ${
-        judge(today.bytesPerSecond, BUDGET.bytesPerSecond)
-    } | ${judge(next.processorMs, BUDGET.processorMsPerSecond)} | ${
-        judge(next.bytesPerSecond, BUDGET.bytesPerSecond)
+${formatRow("**sum**", today, designed)}
+| budget | ${formatVerdict(today.processorMs, BUDGET.processorMsPerSecond)} | ${
+        formatVerdict(today.bytesPerSecond, BUDGET.bytesPerSecond)
+    } | ${formatVerdict(designed.processorMs, BUDGET.processorMsPerSecond)} | ${
+        formatVerdict(designed.bytesPerSecond, BUDGET.bytesPerSecond)
     } |`;
 }
 
@@ -37,7 +37,7 @@
     return `| ${[title, ...cells].join(" | ")} |`;
 }
 
-function addUp(loads: readonly NodeLoad[]): NodeLoad {
+function sumLoads(loads: readonly NodeLoad[]): NodeLoad {
     return {
         processorMs: loads.reduce((sum, load) => sum + load.processorMs, 0),
         bytesPerSecond: loads.reduce((sum, load) => sum + load.bytesPerSecond, 0),
--- a/src/bench/slopes/capacity/index.ts
+++ b/src/bench/slopes/capacity/index.ts
@@ -1,8 +1,8 @@
-import { SlopeBook } from "../slopeBook/index.js";
 import { SlopeFile } from "../slopeFile/index.js";
+import { SlopeTable } from "../slopeTable/index.js";
 import { formatNumber } from "./_lib/format.js";
 import { formatSection } from "./_lib/section.js";
-import { ASSUMED, BUDGET, NODE, SIZE } from "./_lib/size.js";
+import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "./_lib/size.js";
 import { formatTotals } from "./_lib/totals.js";
 import { describeEvents } from "./roles/events.js";
 import { describeOwner } from "./roles/owner.js";
@@ -14,7 +14,7 @@
 import { describeView } from "./roles/view.js";
 import { describeVoter } from "./roles/voter.js";
 
-/** Where the page stands, from the repository's root. */
+/** Path of the page, relative to the repository's root. */
 export const COMPONENTS_PAGE = "docs/COMPONENTS.md";
 
 const SECTIONS = [
@@ -30,18 +30,23 @@
 ] as const;
 
 /**
- * Writes the page of capacity from the raw figures.
+ * Formats the page on the capacity of all components from the samples.
  *
  * @throws RangeError when a slope is missing.
  */
 export function formatComponentsPage(file: SlopeFile): string {
-    const book = new SlopeBook(file);
-    const sections = SECTIONS.map(describe => describe(book));
-    const parts = [formatHead(file), formatTotals(sections), ...sections.map(formatSection), formatSlopes(book)];
-    return `${parts.join("\n\n")}\n`;
+    const slopes = new SlopeTable(file);
+    const sections = SECTIONS.map(describe => describe(slopes));
+    const blocks = [
+        formatIntroduction(file),
+        formatTotals(sections),
+        ...sections.map(formatSection),
+        formatSlopes(slopes),
+    ];
+    return `${blocks.join("\n\n")}\n`;
 }
 
-function formatHead({ machine, slopes }: SlopeFile): string {
+function formatIntroduction({ machine, slopes }: SlopeFile): string {
     const dates = [...new Set(slopes.map(slope => slope.date))].sort().join(", ");
     return `# Slopes of single components
 
@@ -52,32 +57,36 @@
 Measured on: ${machine.processor}, ${machine.cores} cores, ${machine.memoryGb} GB, Node ${machine.node}; ${dates}. Other work ran on the machine
 at the same time, so that processor times scatter: see the spread in the last table.
 
-**The size:** ${SIZE.nodes} nodes before ${formatNumber(SIZE.upstreams)} upstreams; ${
-        formatNumber(SIZE.requestsPerSecond)
-    } requests and ${formatNumber(SIZE.tokensPerSecond)} tokens a second;
-${formatNumber(SIZE.workspaces)} workspaces, ${SIZE.models} models; ${SIZE.regions} regions with ${SIZE.zones} zones; ${
-        formatNumber(SIZE.changesPerDay)
-    } changes of configuration, ${SIZE.failuresPerDay} failures and
-${SIZE.restartsPerDay} restarts a day. For one node that is ${formatNumber(NODE.requestsPerSecond)} requests, ${
-        formatNumber(NODE.tokensPerSecond)
-    } tokens and ${formatNumber(NODE.announcementsPerSecond)} announcements a second,
-and ${formatNumber(NODE.openStreams)} open streams.
+**The size:** ${TARGET_SIZE.nodes} nodes before ${formatNumber(TARGET_SIZE.upstreams)} upstreams; ${
+        formatNumber(TARGET_SIZE.requestsPerSecond)
+    } requests and ${formatNumber(TARGET_SIZE.tokensPerSecond)} tokens a second;
+${
+        formatNumber(TARGET_SIZE.workspaces)
+    } workspaces, ${TARGET_SIZE.models} models; ${TARGET_SIZE.regions} regions with ${TARGET_SIZE.zones} zones; ${
+        formatNumber(TARGET_SIZE.changesPerDay)
+    } changes of configuration, ${TARGET_SIZE.failuresPerDay} failures and
+${TARGET_SIZE.restartsPerDay} restarts a day. For one node that is ${
+        formatNumber(PER_NODE.requestsPerSecond)
+    } requests, ${formatNumber(PER_NODE.tokensPerSecond)} tokens and ${
+        formatNumber(PER_NODE.announcementsPerSecond)
+    } announcements a second,
+and ${formatNumber(PER_NODE.openStreams)} open streams.
 
 **The budgets** for control on a node: ${
         formatNumber(BUDGET.processorMsPerSecond)
     } ms of processor time a second (1.3 % of a core), 128 MB, ${formatNumber(BUDGET.bytesPerSecond)} B/s; at most
-${SIZE.controlHosts} hosts set aside for control; a change in force within ${formatNumber(BUDGET.inForceMs)} ms.
+${TARGET_SIZE.controlHosts} hosts set aside for control; a change in force within ${formatNumber(BUDGET.inForceMs)} ms.
 
-**Taken for granted**, since the letter does not say: two announcements a second of each upstream with ${ASSUMED.cacheEvents} cache events; changes
-in bursts of ${ASSUMED.changePeak} times the mean; ${ASSUMED.packetBytes} B of IP and TCP headers a packet; ${ASSUMED.linesPerWorkspace} usage lines for each workspace in a window
-of ${ASSUMED.windowSeconds} s; one request in ${ASSUMED.callsOneIn} not repeatable; ${ASSUMED.regionRoundTripMs} ms between regions and back.`;
+**Taken for granted**, since the letter does not say: two announcements a second of each upstream with ${ASSUMPTIONS.cacheEvents} cache events; changes
+in bursts of ${ASSUMPTIONS.changePeak} times the mean; ${ASSUMPTIONS.packetBytes} B of IP and TCP headers a packet; ${ASSUMPTIONS.linesPerWorkspace} usage lines for each workspace in a window
+of ${ASSUMPTIONS.windowSeconds} s; one request in ${ASSUMPTIONS.callsOneIn} not repeatable; ${ASSUMPTIONS.regionRoundTripMs} ms between regions and back.`;
 }
 
-function formatSlopes(book: SlopeBook): string {
-    const rows = book.file.slopes.map(({ id, points }) => {
+function formatSlopes(slopes: SlopeTable): string {
+    const rows = slopes.file.slopes.map(({ id, points }) => {
         const sizes = points.map(point => formatNumber(point.x)).join(", ");
-        const fit = book.tryFit(id);
-        if (!fit) return `| \`${id}\` | ${sizes} | ${formatNumber(book.mean(id))} | | | |`;
+        const fit = slopes.tryFit(id);
+        if (!fit) return `| \`${id}\` | ${sizes} | ${formatNumber(slopes.mean(id))} | | | |`;
         const { base, perUnit, standardError, rSquared } = fit;
         const figures = [base, perUnit, standardError].map(value => Number(value.toPrecision(3)).toString());
         return `| \`${id}\` | ${sizes} | ${figures.join(" | ")} | ${rSquared.toFixed(3)} |`;
--- a/src/bench/slopes/capacity/roles/owner.ts
+++ b/src/bench/slopes/capacity/roles/owner.ts
@@ -1,73 +1,79 @@
-import { SlopeBook } from "../../slopeBook/index.js";
+import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
-import { judge, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMED, BUDGET, NODE, SIZE } from "../_lib/size.js";
+import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
+import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
 
 const GRANT_BYTES = 200;
 const COMPLETION_BYTES = 230;
-const CALLS_EACH = 2;
+const MESSAGES_PER_TICKET = 2;
 const LOAN_BYTES = 150;
-const LOAN_SECONDS = 2;
+const LOAN_INTERVAL_S = 2;
 
-/** The owner of a pool's queue. */
-export function describeOwner(book: SlopeBook): RoleSection {
-    const tickets = SIZE.requestsPerSecond / NODE.queues;
-    const upstreams = SIZE.upstreams / NODE.queues;
-    const grant = book.at("dispatch.grant.processor", upstreams) / 1_000;
-    const wire = CALLS_EACH * book.mean("wire.call.processor") / 1_000;
-    const load = tickets * (grant + wire);
-    const ticketBytes = book.mean("dispatch.ticket.bytes") + GRANT_BYTES + COMPLETION_BYTES + 3 * ASSUMED.packetBytes;
-    const loans = SIZE.models * (LOAN_BYTES + ASSUMED.packetBytes) / LOAN_SECONDS;
-    // As many as there are nodes for: at most one on each.
-    const shards = Math.floor(SIZE.nodes / NODE.queues);
+/** Describes the owner of a pool's queue. */
+export function describeOwner(slopes: SlopeTable): RoleSection {
+    const ticketsPerSecond = TARGET_SIZE.requestsPerSecond / PER_NODE.queues;
+    const upstreamsPerQueue = TARGET_SIZE.upstreams / PER_NODE.queues;
+    const grantMs = slopes.predictAt("dispatch.grant.processor", upstreamsPerQueue) / 1_000;
+    const messagesMs = MESSAGES_PER_TICKET * slopes.mean("wire.call.processor") / 1_000;
+    const queueMsPerSecond = ticketsPerSecond * (grantMs + messagesMs);
+    const ticketBytes = slopes.mean("dispatch.ticket.bytes") + GRANT_BYTES + COMPLETION_BYTES
+        + 3 * ASSUMPTIONS.packetBytes;
+    const loanBytesPerSecond = TARGET_SIZE.models * (LOAN_BYTES + ASSUMPTIONS.packetBytes) / LOAN_INTERVAL_S;
+    // At most one shard on each node.
+    const shards = Math.floor(TARGET_SIZE.nodes / PER_NODE.queues);
     return {
         title: "Pool owner",
         today:
-            `One entry owns the queue of a pool in a region; the others send it tickets and get grants. ${SIZE.models} models in ${SIZE.regions} regions make ${NODE.queues} queues, ${
-                formatNumber(tickets)
-            } tickets a second and ${formatNumber(upstreams)} upstreams each.`,
+            `One entry owns the queue of a pool in a region; the others send it tickets and get grants. ${TARGET_SIZE.models} models in ${TARGET_SIZE.regions} regions make ${PER_NODE.queues} queues, ${
+                formatNumber(ticketsPerSecond)
+            } tickets a second and ${formatNumber(upstreamsPerQueue)} upstreams each.`,
         rows: [
             {
-                what: "a request's way through the queue",
-                arithmetic: `${formatNumber(grant * 1_000)} µs with ${formatNumber(upstreams)} upstreams, ${
-                    formatNumber(wire * 1_000)
-                } µs for ${CALLS_EACH} messages`,
-                value: `${formatNumber((grant + wire) * 1_000)} µs`,
+                subject: "a request's way through the queue",
+                arithmetic: `${formatNumber(grantMs * 1_000)} µs with ${formatNumber(upstreamsPerQueue)} upstreams, ${
+                    formatNumber(messagesMs * 1_000)
+                } µs for ${MESSAGES_PER_TICKET} messages`,
+                value: `${formatNumber((grantMs + messagesMs) * 1_000)} µs`,
             },
             {
-                what: "one queue of the letter",
-                arithmetic: `× ${formatNumber(tickets)} tickets a second`,
-                value: formatProcessor(load),
-                verdict: judge(load, BUDGET.processorMsPerSecond),
+                subject: "one queue of the letter",
+                arithmetic: `× ${formatNumber(ticketsPerSecond)} tickets a second`,
+                value: formatProcessor(queueMsPerSecond),
+                verdict: formatVerdict(queueMsPerSecond, BUDGET.processorMsPerSecond),
             },
             {
-                what: "a request with others waiting",
-                arithmetic: `${formatNumber(book.largest("dispatch.waiting.processor"))} waiting, all slots taken`,
-                value: `${formatNumber(book.last("dispatch.waiting.processor"))} µs`,
+                subject: "a request with others waiting",
+                arithmetic: `${
+                    formatNumber(slopes.largestSize("dispatch.waiting.processor"))
+                } waiting, all slots taken`,
+                value: `${formatNumber(slopes.meanAtLargestSize("dispatch.waiting.processor"))} µs`,
             },
             {
-                what: "a ticket, its grant and its completion",
+                subject: "a ticket, its grant and its completion",
                 arithmetic: `${
-                    formatNumber(book.mean("dispatch.ticket.bytes"))
+                    formatNumber(slopes.mean("dispatch.ticket.bytes"))
                 } + ${GRANT_BYTES} + ${COMPLETION_BYTES} B (the last two reckoned) and packets, × ${
-                    formatNumber(NODE.requestsPerSecond)
+                    formatNumber(PER_NODE.requestsPerSecond)
                 } requests a second of an entry`,
-                value: `${formatBytes(ticketBytes * NODE.requestsPerSecond)}/s`,
-                verdict: judge(ticketBytes * NODE.requestsPerSecond, BUDGET.bytesPerSecond),
+                value: `${formatBytes(ticketBytes * PER_NODE.requestsPerSecond)}/s`,
+                verdict: formatVerdict(ticketBytes * PER_NODE.requestsPerSecond, BUDGET.bytesPerSecond),
             },
         ],
         loads: {
-            today: { processorMs: NODE.requestsPerSecond * wire, bytesPerSecond: ticketBytes * NODE.requestsPerSecond },
-            next: { processorMs: load / shards, bytesPerSecond: loans },
+            today: {
+                processorMs: PER_NODE.requestsPerSecond * messagesMs,
+                bytesPerSecond: ticketBytes * PER_NODE.requestsPerSecond,
+            },
+            designed: { processorMs: queueMsPerSecond / shards, bytesPerSecond: loanBytesPerSecond },
         },
-        next: [
+        designed: [
             `**A queue of the letter breaks the budget on its one owner.** ${NOT_BUILT} A queue splits into ${shards} shards by hash of the workspace, each with its part of the pool's upstreams: ${
-                NODE.queues * shards
-            } shards over ${SIZE.nodes} nodes, ${
-                formatNumber(load / shards)
+                PER_NODE.queues * shards
+            } shards over ${TARGET_SIZE.nodes} nodes, ${
+                formatNumber(queueMsPerSecond / shards)
             } ms/s each. Order stays exact within a shard; between shards upstreams move by the minute, from the shard with the shortest predicted wait to the one with the longest.`,
-            `**A ticket for each request breaks the budget of bytes** if tickets count as control. ${NOT_BUILT} An owner lends slots: every ${LOAN_SECONDS} s it tells each entry how many requests of which tier it may send to which upstreams, and the entry grants by itself while they last. ${SIZE.models} pools × ${LOAN_BYTES} B and a packet are ${
-                formatBytes(loans)
+            `**A ticket for each request breaks the budget of bytes** if tickets count as control. ${NOT_BUILT} An owner lends slots: every ${LOAN_INTERVAL_S} s it tells each entry how many requests of which tier it may send to which upstreams, and the entry grants by itself while they last. ${TARGET_SIZE.models} pools × ${LOAN_BYTES} B and a packet are ${
+                formatBytes(loanBytesPerSecond)
             }/s; only requests beyond the loan send tickets. What it costs in order and fairness is to be measured against one queue before it is built.`,
         ],
     };
--- a/src/bench/slopes/capacity/roles/upstreams.ts
+++ b/src/bench/slopes/capacity/roles/upstreams.ts
@@ -1,84 +1,99 @@
-import { SlopeBook } from "../../slopeBook/index.js";
+import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
-import { judge, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMED, BUDGET, NODE, SIZE } from "../_lib/size.js";
+import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
+import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
 
-const TARGETS = 2;
-const COMPACT_BYTES = 40;
-const DIGEST_SECONDS = 5;
+/** Entries that get each announcement: the owner of the pool's queue and the next owner. */
+const FORWARD_TARGETS = 2;
+const DIGEST_BYTES_PER_UPSTREAM = 40;
+const DIGEST_INTERVAL_S = 5;
 
 const SECONDS_PER_DAY = 86_400;
 
-/** An entry as a listener to upstreams, and the choice of a pool's owner. */
-export function describeUpstreams(book: SlopeBook): RoleSection {
-    const rate = NODE.announcementsPerSecond;
-    const size = book.at("announcement.msgpack.bytes", ASSUMED.cacheEvents) + ASSUMED.packetBytes;
-    const spread = rate * TARGETS * size;
-    const readMs = rate
-        * (book.at("announcement.read", ASSUMED.cacheEvents) + book.at("registry.announce", SIZE.upstreams)) / 1_000;
-    const choose = book.at("owner.choose", SIZE.nodes) / 1_000;
-    const choices = NODE.listChangesPerDay / SECONDS_PER_DAY * TARGETS * SIZE.models;
-    const choicesWithoutTable = NODE.requestsPerSecond + rate * TARGETS;
-    const digest = (SIZE.upstreams / NODE.queues * COMPACT_BYTES + ASSUMED.packetBytes) / DIGEST_SECONDS;
-    const heap = book.at("registry.heap", SIZE.upstreams);
+/** Describes an entry's work for announcements of upstreams, and the choice of a pool's owner. */
+export function describeUpstreams(slopes: SlopeTable): RoleSection {
+    const announcementsPerSecond = PER_NODE.announcementsPerSecond;
+    const announcementBytes = slopes.predictAt("announcement.msgpack.bytes", ASSUMPTIONS.cacheEvents)
+        + ASSUMPTIONS.packetBytes;
+    const forwardedBytesPerSecond = announcementsPerSecond * FORWARD_TARGETS * announcementBytes;
+    const readMs = announcementsPerSecond
+        * (slopes.predictAt("announcement.read", ASSUMPTIONS.cacheEvents)
+            + slopes.predictAt("registry.announce", TARGET_SIZE.upstreams))
+        / 1_000;
+    const chooseMs = slopes.predictAt("owner.choose", TARGET_SIZE.nodes) / 1_000;
+    const choicesPerSecond = PER_NODE.listChangesPerDay / SECONDS_PER_DAY * FORWARD_TARGETS * TARGET_SIZE.models;
+    const choicesPerSecondWithoutTable = PER_NODE.requestsPerSecond + announcementsPerSecond * FORWARD_TARGETS;
+    const digestBytesPerSecond =
+        (TARGET_SIZE.upstreams / PER_NODE.queues * DIGEST_BYTES_PER_UPSTREAM + ASSUMPTIONS.packetBytes)
+        / DIGEST_INTERVAL_S;
+    const heapBytes = slopes.predictAt("registry.heap", TARGET_SIZE.upstreams);
     return {
         title: "Entry: announcements of upstreams",
         today:
-            `An upstream announces itself to any entry twice a second. That entry passes the announcement to the owner of the pool's queue and to the next owner, and to no other: nothing grows with hosts × upstreams. ${ASSUMED.cacheEvents} cache events in each are taken for granted.`,
+            `An upstream announces itself to any entry twice a second. That entry passes the announcement to the owner of the pool's queue and to the next owner, and to no other: nothing grows with hosts × upstreams. ${ASSUMPTIONS.cacheEvents} cache events in each are taken for granted.`,
         rows: [
             {
-                what: "taking announcements",
-                arithmetic: `${formatNumber(rate)} a second; check of the JSON ${
-                    formatNumber(book.at("announcement.read", ASSUMED.cacheEvents))
-                } µs, registry ${formatNumber(book.at("registry.announce", SIZE.upstreams))} µs`,
+                subject: "taking announcements",
+                arithmetic: `${formatNumber(announcementsPerSecond)} a second; check of the JSON ${
+                    formatNumber(slopes.predictAt("announcement.read", ASSUMPTIONS.cacheEvents))
+                } µs, registry ${formatNumber(slopes.predictAt("registry.announce", TARGET_SIZE.upstreams))} µs`,
                 value: formatProcessor(readMs),
-                verdict: judge(readMs, BUDGET.processorMsPerSecond),
+                verdict: formatVerdict(readMs, BUDGET.processorMsPerSecond),
             },
             {
-                what: "passing them on, bytes",
-                arithmetic: `${formatNumber(rate)} a second × ${TARGETS} entries × ${formatNumber(size)} B`,
-                value: `${formatBytes(spread)}/s`,
-                verdict: judge(spread, BUDGET.bytesPerSecond),
+                subject: "passing them on, bytes",
+                arithmetic: `${formatNumber(announcementsPerSecond)} a second × ${FORWARD_TARGETS} entries × ${
+                    formatNumber(announcementBytes)
+                } B`,
+                value: `${formatBytes(forwardedBytesPerSecond)}/s`,
+                verdict: formatVerdict(forwardedBytesPerSecond, BUDGET.bytesPerSecond),
             },
             {
-                what: "choosing the owner of a queue",
+                subject: "choosing the owner of a queue",
                 arithmetic: `${
-                    formatNumber(book.perUnit("owner.choose"))
-                } µs × ${SIZE.nodes} hosts, twice for each of ${SIZE.models} models at each of ${NODE.listChangesPerDay} changes of the list of hosts a day`,
-                value: formatProcessor(choose * choices),
-                verdict: judge(choose * choices, BUDGET.processorMsPerSecond),
+                    formatNumber(slopes.perUnit("owner.choose"))
+                } µs × ${TARGET_SIZE.nodes} hosts, twice for each of ${TARGET_SIZE.models} models at each of ${PER_NODE.listChangesPerDay} changes of the list of hosts a day`,
+                value: formatProcessor(chooseMs * choicesPerSecond),
+                verdict: formatVerdict(chooseMs * choicesPerSecond, BUDGET.processorMsPerSecond),
             },
             {
-                what: "the registry, if an entry heard of all upstreams",
-                arithmetic: `${formatNumber(book.perUnit("registry.heap"))} B × ${formatNumber(SIZE.upstreams)}`,
-                value: formatBytes(heap),
-                verdict: judge(heap, BUDGET.memoryBytes),
+                subject: "the registry, if an entry heard of all upstreams",
+                arithmetic: `${formatNumber(slopes.perUnit("registry.heap"))} B × ${
+                    formatNumber(TARGET_SIZE.upstreams)
+                }`,
+                value: formatBytes(heapBytes),
+                verdict: formatVerdict(heapBytes, BUDGET.memoryBytes),
             },
             {
-                what: "all announcements to all entries",
-                arithmetic: `${formatNumber(SIZE.upstreams * ASSUMED.announcementsPerSecond)} a second × ${
-                    formatNumber(size)
+                subject: "all announcements to all entries",
+                arithmetic: `${formatNumber(TARGET_SIZE.upstreams * ASSUMPTIONS.announcementsPerSecond)} a second × ${
+                    formatNumber(announcementBytes)
                 } B to each entry`,
-                value: `${formatBytes(SIZE.upstreams * ASSUMED.announcementsPerSecond * size)}/s for each entry`,
+                value: `${
+                    formatBytes(TARGET_SIZE.upstreams * ASSUMPTIONS.announcementsPerSecond * announcementBytes)
+                }/s for each entry`,
                 verdict: `${
-                    judge(SIZE.upstreams * ASSUMED.announcementsPerSecond * size, BUDGET.bytesPerSecond)
+                    formatVerdict(
+                        TARGET_SIZE.upstreams * ASSUMPTIONS.announcementsPerSecond * announcementBytes,
+                        BUDGET.bytesPerSecond,
+                    )
                 }; not done`,
             },
         ],
         loads: {
-            today: { processorMs: readMs + choose * choices, bytesPerSecond: spread },
-            next: { processorMs: readMs, bytesPerSecond: digest },
+            today: { processorMs: readMs + chooseMs * choicesPerSecond, bytesPerSecond: forwardedBytesPerSecond },
+            designed: { processorMs: readMs, bytesPerSecond: digestBytesPerSecond },
         },
-        next: [
+        designed: [
             `The owners are kept for each list of hosts, and a choice is a look-up. Made for each request and twice for each announcement, as at first, they took ${
-                formatProcessor(choose * choicesWithoutTable)
+                formatProcessor(chooseMs * choicesPerSecondWithoutTable)
             }. ${NOT_BUILT} Only the hosts of the region are asked: ${
-                Math.round(SIZE.nodes / SIZE.regions)
-            } instead of ${SIZE.nodes}.`,
-            `**Passing announcements on breaks the budget.** ${NOT_BUILT} The answer to an announcement names the owner of the queue, so that the upstream sends the next ones there and nothing is passed on. The owner gives the next owner a digest in ${DIGEST_SECONDS} s: ${COMPACT_BYTES} B for each of ${
-                formatNumber(SIZE.upstreams / NODE.queues)
+                Math.round(TARGET_SIZE.nodes / TARGET_SIZE.regions)
+            } instead of ${TARGET_SIZE.nodes}.`,
+            `**Passing announcements on breaks the budget.** ${NOT_BUILT} The answer to an announcement names the owner of the queue, so that the upstream sends the next ones there and nothing is passed on. The owner gives the next owner a digest in ${DIGEST_INTERVAL_S} s: ${DIGEST_BYTES_PER_UPSTREAM} B for each of ${
+                formatNumber(TARGET_SIZE.upstreams / PER_NODE.queues)
             } upstreams, ${
-                formatBytes(digest)
+                formatBytes(digestBytesPerSecond)
             }/s, on owners alone. A new owner then knows the upstreams at once, and their load within half a second.`,
         ],
     };
--- a/src/bench/slopes/capacity/roles/voter.ts
+++ b/src/bench/slopes/capacity/roles/voter.ts
@@ -1,118 +1,125 @@
-import { SlopeBook } from "../../slopeBook/index.js";
+import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
-import { judge, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMED, BUDGET, NODE, SIZE } from "../_lib/size.js";
+import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
+import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
 
 const SNAPSHOT_ENTRIES = 20_000;
-const GROUPS = 3;
+const VOTER_GROUPS = 3;
 
-/** A control voter, and what its holder does besides. */
-export function describeVoter(book: SlopeBook): RoleSection {
-    const heap = book.at("state.heap", SIZE.workspaces);
-    const base = book.mean("base.control.resident");
-    const snapshot = book.at("state.snapshot.bytes", SIZE.workspaces);
-    const encode = book.at("state.snapshot.encode", SIZE.workspaces);
-    const links = book.at("wire.link.processor", SIZE.nodes);
-    const pulls = book.last("pulls.idle.processor");
-    const change = book.at("pulls.change.processor", SIZE.nodes);
-    const calls = SIZE.requestsPerSecond / ASSUMED.callsOneIn;
-    const records = calls * ASSUMED.callRetentionSeconds;
+/** Describes a control voter and the additional work of the holder. */
+export function describeVoter(slopes: SlopeTable): RoleSection {
+    const heapBytes = slopes.predictAt("state.heap", TARGET_SIZE.workspaces);
+    const baseBytes = slopes.mean("base.control.resident");
+    const snapshotBytes = slopes.predictAt("state.snapshot.bytes", TARGET_SIZE.workspaces);
+    const encodeMs = slopes.predictAt("state.snapshot.encode", TARGET_SIZE.workspaces);
+    const linkMsPerSecond = slopes.predictAt("wire.link.processor", TARGET_SIZE.nodes);
+    const pullMsPerSecond = slopes.meanAtLargestSize("pulls.idle.processor");
+    const changeMs = slopes.predictAt("pulls.change.processor", TARGET_SIZE.nodes);
+    const callsPerSecond = TARGET_SIZE.requestsPerSecond / ASSUMPTIONS.callsOneIn;
+    const recordCount = callsPerSecond * ASSUMPTIONS.callRetentionSeconds;
     return {
         title: "Control voter and holder",
         today:
             "Each control host keeps the whole state in memory and a log with snapshots on disk. The holder also answers the entries' pulls. Control hosts may be set aside, so the budget of 1.3 % of a core is that of other nodes; a voter's bound is its one event loop.",
         rows: [
             {
-                what: "templates, workspaces and keys, memory",
-                arithmetic: `${formatNumber(book.perUnit("state.heap"))} B × ${
-                    formatNumber(SIZE.workspaces)
+                subject: "templates, workspaces and keys, memory",
+                arithmetic: `${formatNumber(slopes.perUnit("state.heap"))} B × ${
+                    formatNumber(TARGET_SIZE.workspaces)
                 } and a base`,
-                value: formatBytes(heap),
-                verdict: judge(heap, BUDGET.memoryBytes),
+                value: formatBytes(heapBytes),
+                verdict: formatVerdict(heapBytes, BUDGET.memoryBytes),
             },
             {
-                what: "with the code of the process",
-                arithmetic: `+ ${formatBytes(base)} resident`,
-                value: formatBytes(base + heap),
-                verdict: judge(base + heap, BUDGET.memoryBytes),
+                subject: "with the code of the process",
+                arithmetic: `+ ${formatBytes(baseBytes)} resident`,
+                value: formatBytes(baseBytes + heapBytes),
+                verdict: formatVerdict(baseBytes + heapBytes, BUDGET.memoryBytes),
             },
             {
-                what: "a snapshot",
-                arithmetic: `${formatNumber(book.perUnit("state.snapshot.bytes"))} B × ${
-                    formatNumber(SIZE.workspaces)
+                subject: "a snapshot",
+                arithmetic: `${formatNumber(slopes.perUnit("state.snapshot.bytes"))} B × ${
+                    formatNumber(TARGET_SIZE.workspaces)
                 } and a base, encoded in one go`,
-                value: `${formatBytes(snapshot)}, ${formatNumber(encode)} ms`,
-                verdict: `must stay well below \`election_ms\` (1,000): ${encode < 500 ? "fits" : "**breaks it**"}`,
+                value: `${formatBytes(snapshotBytes)}, ${formatNumber(encodeMs)} ms`,
+                verdict: `must stay well below \`election_ms\` (1,000): ${encodeMs < 500 ? "fits" : "**breaks it**"}`,
             },
             {
-                what: "a start from a snapshot",
-                arithmetic: `${formatNumber(book.perUnit("state.snapshot.restore") * 1_000)} µs × ${
-                    formatNumber(SIZE.workspaces)
-                }, and ${formatNumber(book.perUnit("log.replay"))} ms for each entry after it`,
-                value: `${formatNumber(book.at("state.snapshot.restore", SIZE.workspaces))} ms, and ${
-                    formatNumber(book.perUnit("log.replay") * SNAPSHOT_ENTRIES)
+                subject: "a start from a snapshot",
+                arithmetic: `${formatNumber(slopes.perUnit("state.snapshot.restore") * 1_000)} µs × ${
+                    formatNumber(TARGET_SIZE.workspaces)
+                }, and ${formatNumber(slopes.perUnit("log.replay"))} ms for each entry after it`,
+                value: `${formatNumber(slopes.predictAt("state.snapshot.restore", TARGET_SIZE.workspaces))} ms, and ${
+                    formatNumber(slopes.perUnit("log.replay") * SNAPSHOT_ENTRIES)
                 } ms for ${formatNumber(SNAPSHOT_ENTRIES)} entries`,
             },
             {
-                what: "a change of the configuration, applied",
+                subject: "a change of the configuration, applied",
                 arithmetic: "does not grow with the number of workspaces",
-                value: `${formatNumber(book.mean("state.change.apply"))} µs`,
+                value: `${formatNumber(slopes.mean("state.change.apply"))} µs`,
             },
             {
-                what: "links to all entries, idle",
-                arithmetic: `${formatNumber(book.perUnit("wire.link.processor"))} ms/s × ${SIZE.nodes} and a base`,
-                value: formatProcessor(links),
+                subject: "links to all entries, idle",
+                arithmetic: `${
+                    formatNumber(slopes.perUnit("wire.link.processor"))
+                } ms/s × ${TARGET_SIZE.nodes} and a base`,
+                value: formatProcessor(linkMsPerSecond),
             },
             {
-                what: "pulls of all entries, idle",
+                subject: "pulls of all entries, idle",
                 arithmetic: `measured with ${
-                    formatNumber(book.largest("pulls.idle.processor"))
+                    formatNumber(slopes.largestSize("pulls.idle.processor"))
                 } entries, each once a second; both ends' encoding counted`,
-                value: formatProcessor(pulls),
+                value: formatProcessor(pullMsPerSecond),
             },
             {
-                what: "a change to all entries",
-                arithmetic: `${formatNumber(book.perUnit("pulls.change.processor"))} ms × ${SIZE.nodes}, ${
-                    formatNumber(NODE.changesPerSecond)
-                } a second, ${ASSUMED.changePeak} times that in a burst`,
-                value: `${formatNumber(change)} ms; ${formatProcessor(change * NODE.changesPerSecond)}, ${
-                    formatProcessor(change * NODE.changesPerSecond * ASSUMED.changePeak)
+                subject: "a change to all entries",
+                arithmetic: `${formatNumber(slopes.perUnit("pulls.change.processor"))} ms × ${TARGET_SIZE.nodes}, ${
+                    formatNumber(PER_NODE.changesPerSecond)
+                } a second, ${ASSUMPTIONS.changePeak} times that in a burst`,
+                value: `${formatNumber(changeMs)} ms; ${formatProcessor(changeMs * PER_NODE.changesPerSecond)}, ${
+                    formatProcessor(changeMs * PER_NODE.changesPerSecond * ASSUMPTIONS.changePeak)
                 }`,
             },
             {
-                what: "call records of one day",
-                arithmetic: `one request in ${ASSUMED.callsOneIn} (taken for granted): ${
-                    formatNumber(calls)
-                } a second, ${formatNumber(book.perUnit("ledger.heap"))} B each with an answer of 200 B, kept a day`,
-                value: formatBytes(records * book.perUnit("ledger.heap")),
-                verdict: judge(records * book.perUnit("ledger.heap"), BUDGET.memoryBytes),
+                subject: "call records of one day",
+                arithmetic: `one request in ${ASSUMPTIONS.callsOneIn} (taken for granted): ${
+                    formatNumber(callsPerSecond)
+                } a second, ${formatNumber(slopes.perUnit("ledger.heap"))} B each with an answer of 200 B, kept a day`,
+                value: formatBytes(recordCount * slopes.perUnit("ledger.heap")),
+                verdict: formatVerdict(recordCount * slopes.perUnit("ledger.heap"), BUDGET.memoryBytes),
             },
         ],
-        next: [
+        designed: [
             `A change reaches all entries through one process: ${
-                formatNumber(change)
+                formatNumber(changeMs)
             } ms of its event loop. That is below the limit of ${
                 formatNumber(BUDGET.inForceMs)
-            } ms and grows with hosts alone. ${NOT_BUILT} With ${SIZE.zones} zone relays the holder serves ${SIZE.zones} pulls instead of ${SIZE.nodes}: ${
-                formatNumber(book.perUnit("pulls.change.processor") * SIZE.zones)
+            } ms and grows with hosts alone. ${NOT_BUILT} With ${TARGET_SIZE.zones} zone relays the holder serves ${TARGET_SIZE.zones} pulls instead of ${TARGET_SIZE.nodes}: ${
+                formatNumber(slopes.perUnit("pulls.change.processor") * TARGET_SIZE.zones)
             } ms.`,
             `Idle pulls grow faster than hosts: each answer lists all entries before it finds the list unchanged. ${NOT_BUILT} The version is compared first; then the cost is by hosts alone. A burst of changes was measured with 200 entries: ${
-                formatNumber(book.perUnit("pulls.rate.processor"))
+                formatNumber(slopes.perUnit("pulls.rate.processor"))
             } ms/s for each change a second.`,
             `Past 32 MB of kept answers the oldest is found in a list of its own: a call takes ${
-                formatNumber(book.first("ledger.full.call"))
-            } µs with ${formatNumber(book.smallest("ledger.full.call"))} records and ${
-                formatNumber(book.last("ledger.full.call"))
-            } µs with ${formatNumber(book.largest("ledger.full.call"))}, against ${
-                formatNumber(book.mean("ledger.call"))
+                formatNumber(slopes.meanAtSmallestSize("ledger.full.call"))
+            } µs with ${formatNumber(slopes.smallestSize("ledger.full.call"))} records and ${
+                formatNumber(slopes.meanAtLargestSize("ledger.full.call"))
+            } µs with ${formatNumber(slopes.largestSize("ledger.full.call"))}, against ${
+                formatNumber(slopes.mean("ledger.call"))
             } µs below that. Before that list it took 2,604 µs with 40,000 records (measured on 3 December 2026, busy machine).`,
-            `**Call records break the memory** by far. ${NOT_BUILT} They leave the control log for a ledger of their own, split by workspace hash over ${GROUPS} groups on the ${SIZE.controlHosts} control hosts, with records on disk and an index of 24 B for each in memory, kept for one hour in memory and for the rest of the day on disk: ${
-                formatBytes(24 * calls * 3_600 / GROUPS)
-            } for each host. ${formatNumber(calls / GROUPS)} records a second and group, two entries each, at ${
-                formatNumber(book.last("log.entry.processor") / book.largest("log.entry.processor"))
+            `**Call records break the memory** by far. ${NOT_BUILT} They leave the control log for a ledger of their own, split by workspace hash over ${VOTER_GROUPS} groups on the ${TARGET_SIZE.controlHosts} control hosts, with records on disk and an index of 24 B for each in memory, kept for one hour in memory and for the rest of the day on disk: ${
+                formatBytes(24 * callsPerSecond * 3_600 / VOTER_GROUPS)
+            } for each host. ${
+                formatNumber(callsPerSecond / VOTER_GROUPS)
+            } records a second and group, two entries each, at ${
+                formatNumber(
+                    slopes.meanAtLargestSize("log.entry.processor") / slopes.largestSize("log.entry.processor"),
+                )
             } ms: ${
                 formatProcessor(
-                    2 * calls / GROUPS * book.last("log.entry.processor") / book.largest("log.entry.processor"),
+                    2 * callsPerSecond / VOTER_GROUPS * slopes.meanAtLargestSize("log.entry.processor")
+                        / slopes.largestSize("log.entry.processor"),
                 )
             }.`,
             `A snapshot is encoded in one go, while no heartbeat leaves. ${NOT_BUILT} It is written in pieces of a few thousand records with the event loop running between them, from a copy-on-write view of the maps.`,
--- a/src/bench/slopes/capacity/test.ts
+++ b/src/bench/slopes/capacity/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { FileDisk } from "../../../ports/index.js";
-import { LEAST_POINTS } from "../fit/index.js";
+import { MIN_POINTS } from "../fit/index.js";
 import { readSlopeFile } from "../slopeFile/index.js";
 import { COMPONENTS_PAGE, formatComponentsPage } from "./index.js";
 
@@ -9,14 +9,14 @@
 const SINGLE_FIGURES = /^(base\.|dispatch\.ticket)/;
 
 describe("formatComponentsPage", () => {
-    it("gives what stands in docs/COMPONENTS.md", async () => {
+    it("matches docs/COMPONENTS.md", async () => {
         const page = Buffer.from(await disk.read(COMPONENTS_PAGE) ?? []).toString();
         assert.equal(page, formatComponentsPage(await readSlopeFile(disk)), "run npm run slopes:page");
     });
 
-    it("rests on four sizes at least for each slope", async () => {
+    it("has at least four sizes for each slope", async () => {
         const { slopes } = await readSlopeFile(disk);
-        const thin = slopes.filter(({ id, points }) => !SINGLE_FIGURES.test(id) && points.length < LEAST_POINTS);
+        const thin = slopes.filter(({ id, points }) => !SINGLE_FIGURES.test(id) && points.length < MIN_POINTS);
         assert.deepEqual(thin.map(({ id }) => id), []);
     });
 
--- a/src/bench/slopes/fit/test.ts
+++ b/src/bench/slopes/fit/test.ts
@@ -11,7 +11,7 @@
         assert.ok(Math.abs(predict(fit, 100) - 205) < 1e-9);
     });
 
-    it("tells a spread", () => {
+    it("reports the scatter of samples around the line", () => {
         const fit = fitLine([1, 2, 3, 4].map(x => ({ x, samples: [x - 1, x + 1] })));
         assert.ok(fit.standardError > 0.1);
         assert.ok(fit.rSquared < 0.7);
--- a/src/bench/slopes/main.ts
+++ b/src/bench/slopes/main.ts
@@ -1,7 +1,7 @@
 /**
- * Measures how each part's processor time, memory, messages and bytes grow with its sizes, and writes the page
- * `docs/COMPONENTS.md` from the raw figures in `bench/slopes.json`. Run it in the repository's folder, with `--expose-gc`:
- * `main.js probe NAME` measures one part, `main.js list` names the parts.
+ * Measures how the processor time, memory and traffic of each component grow with its size, and writes the page
+ * `docs/COMPONENTS.md` from the samples in `bench/slopes.json`. Run it in the repository's folder, with `--expose-gc`:
+ * `main.js probe NAME` measures one component, `main.js list` lists the probes.
  */
 import { cac } from "cac";
 import { FileDisk, SystemClock } from "../../ports/index.js";
@@ -24,7 +24,7 @@
     console.log(`${name}: ${slopes.length} slopes`);
 }
 
-/** Writes the page, or only says whether it is the one that the figures give. */
+/** Writes the page, or with `check` only fails when the page differs from what the samples give. */
 async function writePage({ check }: { readonly check?: boolean; }): Promise<void> {
     const page = formatComponentsPage(await readSlopeFile(disk));
     if (!check) return disk.replace(COMPONENTS_PAGE, Buffer.from(page));
--- a/src/bench/slopes/measures/index.ts
+++ b/src/bench/slopes/measures/index.ts
@@ -1,15 +1,15 @@
 import { SystemClock } from "../../../ports/index.js";
 
-/** How often each figure is taken at each size. */
+/** Number of samples for each value at each size. */
 export const ROUNDS = 5;
-const ROUND_NS = 60_000_000;
+const MIN_ROUND_CPU_NS = 60_000_000;
 const NS_PER_US = 1_000;
 const US_PER_MS = 1_000;
 
 const clock = new SystemClock();
 
 /**
- * What lives on the heap and in buffers after a collection, in bytes.
+ * Returns the memory in use on the heap and in buffers after a garbage collection, in bytes.
  *
  * @throws Error without `--expose-gc`.
  */
@@ -19,79 +19,81 @@
     return heapUsed + arrayBuffers;
 }
 
-/** What the operating system counts for this process after a collection, in bytes. */
+/** Returns the resident memory of this process after a garbage collection, in bytes. */
 export function residentBytes(): number {
     collectGarbage();
     return process.memoryUsage.rss();
 }
 
 /**
- * Processor time of one call of a synchronous function, in microseconds: one mean for each round.
+ * Measures the processor time of one call of a synchronous function, in microseconds.
  *
- * @param work - What to call, many times over.
+ * @param work - Function to call many times.
+ * @returns The mean of each round.
  */
 export async function timeCalls(work: () => unknown): Promise<number[]> {
-    // Loaded here, so that it is not in the memory of probes that don't time calls.
+    // Imported here, so that it takes no memory in probes that don't time calls.
     const { measure } = await import("mitata");
     const means: number[] = [];
     for (let round = 0; round < ROUNDS; round++) {
-        const { avg } = await measure(work, { min_cpu_time: ROUND_NS });
+        const { avg } = await measure(work, { min_cpu_time: MIN_ROUND_CPU_NS });
         means.push(avg / NS_PER_US);
     }
     return means;
 }
 
-/** What was built, and the memory that it takes. */
-export interface Built<Value> {
+/** Built value and the memory that it occupies. */
+export interface BuiltValue<Value> {
     readonly value: Value;
     /** On the heap and in buffers, in bytes. */
     readonly bytes: number;
 }
 
-// What was weighed stays alive: were it collected during the next weighing, its memory would be taken off that one's.
-const weighed: unknown[] = [];
+// Retains measured values: one collected during the next measurement would reduce that one's result by its own memory.
+const retainedValues: unknown[] = [];
 
-/** Builds something and says what it takes of the heap. The value is kept until the process ends. */
-export function weigh<Value>(build: () => Value): Built<Value> {
-    const before = heapBytes();
+/** Builds a value and measures the heap memory that it occupies. The value is retained until the process ends. */
+export function measureHeap<Value>(build: () => Value): BuiltValue<Value> {
+    const usageBefore = heapBytes();
     const value = build();
-    weighed.push(value);
-    return { value, bytes: heapBytes() - before };
+    retainedValues.push(value);
+    return { value, bytes: heapBytes() - usageBefore };
 }
 
 /**
- * Processor time of one run of a slow function, in milliseconds, all threads counted: one figure for each round.
+ * Measures the processor time of one run of a slow function on all threads, in milliseconds.
  *
- * @param work - What to run.
+ * @param work - Function to run.
+ * @returns The time of each round.
  */
 export async function timeRuns(work: () => unknown): Promise<number[]> {
-    const figures: number[] = [];
+    const durationsMs: number[] = [];
     for (let round = 0; round < ROUNDS; round++) {
         const { processorMs } = await timeProcess(async () => work());
-        figures.push(processorMs);
+        durationsMs.push(processorMs);
     }
-    return figures;
+    return durationsMs;
 }
 
-/** What a stretch of time cost this process. */
-export interface Usage {
+/** Processor time that this process used during a period. */
+export interface ProcessUsage {
     /** Processor time of all threads, in milliseconds. */
     readonly processorMs: number;
-    /** How long it took, in milliseconds. */
+    /** Length of the period, in milliseconds. */
     readonly elapsedMs: number;
 }
 
 /**
- * Processor time of the process while a task runs, all its threads counted.
+ * Measures the processor time of the process on all threads while a task runs.
  *
- * @param work - The task.
+ * @param work - Task to run.
  */
-export async function timeProcess(work: () => Promise<unknown>): Promise<Usage> {
+export async function timeProcess(work: () => Promise<unknown>): Promise<ProcessUsage> {
     collectGarbage();
     const startedAt = clock.monotonic();
-    const before = process.cpuUsage();
+    const usageBefore = process.cpuUsage();
     await work();
-    const { user, system } = process.cpuUsage(before);
+    const { user, system } = process.cpuUsage(usageBefore);
     return { processorMs: (user + system) / US_PER_MS, elapsedMs: clock.monotonic() - startedAt };
 }
 
--- a/src/bench/slopes/probe/index.ts
+++ b/src/bench/slopes/probe/index.ts
@@ -2,14 +2,14 @@
 import { Slope } from "../slopeFile/index.js";
 
 /**
- * Measures one part of the system at several sizes. Each probe runs in a process of its own, so that memory left by one
- * is not counted to the next.
+ * Measures one component at several sizes. Each probe runs in a process of its own, so that memory retained by one isn't
+ * counted for the next.
  */
 export abstract class Probe {
-    /** Its name on the command line. */
+    /** Name on the command line. */
     abstract readonly name: string;
 
-    /** Takes the samples. */
+    /** Takes all samples and adds them to the recorder. */
     abstract run(recorder: SlopeRecorder): Promise<void>;
 }
 
@@ -25,9 +25,9 @@
     /**
      * Adds a sample.
      *
-     * @param id - The slope.
-     * @param x - The size.
-     * @param value - The figure, in the slope's unit.
+     * @param id - ID of the slope, such as `view.heap`.
+     * @param x - Size at which the sample was taken, such as a number of workspaces.
+     * @param value - Measured value, in the slope's unit.
      */
     add(id: string, x: number, value: number): void {
         const points = this.samples.get(id) ?? new Map<number, number[]>();
@@ -35,12 +35,16 @@
         points.set(x, [...points.get(x) ?? [], Number(value.toPrecision(6))]);
     }
 
-    /** Adds one sample for each value. */
+    /** Adds one sample for each value, all at the same size. */
     addAll(id: string, x: number, values: readonly number[]): void {
         for (const value of values) this.add(id, x, value);
     }
 
-    /** @param date - The day of the run, as `YYYY-MM-DD`. */
+    /**
+     * Returns all samples as slopes, with points in the order of their sizes.
+     *
+     * @param date - Day of the run, as `YYYY-MM-DD`.
+     */
     toSlopes(date: string): Slope[] {
         return [...this.samples].map(([id, points]) => ({ id, date, points: toPoints(points) }));
     }
--- a/src/bench/slopes/probes/_lib/sampleState.ts
+++ b/src/bench/slopes/probes/_lib/sampleState.ts
@@ -4,82 +4,82 @@
 import { decodeValue, encodeValue } from "../../../../wire/index.js";
 import { ConfigChange, TemplateSpec } from "../../../../workspace/index.js";
 
-/** Keys in force for each workspace: one in use and one that takes its place. */
-export const KEYS_EACH = 2;
-const TEMPLATES = 20;
-const TIERS = 7;
-const WEIGHTS = 5;
+/** Valid keys of each workspace: one in use and its replacement. */
+export const KEYS_PER_WORKSPACE = 2;
+const TEMPLATE_COUNT = 20;
+const TIER_COUNT = 7;
+const WEIGHT_COUNT = 5;
 const OPERATOR = "operator-1";
-const PROPOSED_AT = 1_780_000_000_000;
+const PROPOSED_AT_MS = 1_780_000_000_000;
 
-/** A control state that is fed one command after the other, each as it comes from the log. */
+/** Control state filled with sample data by commands, each encoded and decoded as in the control log. */
 export class SampleState {
     readonly state = new ControlState();
     private index = 0;
     private workspaces = 0;
 
     constructor() {
-        for (let number = 0; number < TEMPLATES; number++) {
+        for (let number = 0; number < TEMPLATE_COUNT; number++) {
             this.apply({
                 kind: "template.put",
-                name: nameTemplate(number),
+                name: formatTemplateName(number),
                 spec: makeSpec(),
                 base: 0,
-                ...this.author(),
+                ...this.makeAuthorship(),
             });
         }
     }
 
-    /** Applies a command to a copy of it that has been through the log's encoding. */
+    /** Applies a copy of a command that has been through the log's encoding. */
     apply(command: ControlCommand): unknown {
         const index = ++this.index as LogIndex;
-        return this.state.apply(decodeValue(encodeValue(command)), { index, proposedAt: PROPOSED_AT + index });
+        return this.state.apply(decodeValue(encodeValue(command)), { index, proposedAt: PROPOSED_AT_MS + index });
     }
 
-    /** Creates workspaces with their keys until there are so many. */
-    grow(count: number): void {
+    /** Creates workspaces with their keys until there are `count` of them. */
+    growTo(count: number): void {
         while (this.workspaces < count) this.addWorkspace(this.workspaces++);
     }
 
-    /** A change that touches one workspace, each time the same. */
+    /** Applies a change of one workspace's token limit. */
     changeLimit(workspace: number): unknown {
-        const id = nameWorkspace(workspace);
+        const id = formatWorkspaceId(workspace);
         const base = this.state.registry.workspace(id)!.revision;
-        return this.apply({ kind: "workspace.limit", id, tokenLimit: this.index, base, ...this.author() });
+        return this.apply({ kind: "workspace.limit", id, tokenLimit: this.index, base, ...this.makeAuthorship() });
     }
 
     private addWorkspace(number: number): void {
-        const id = nameWorkspace(number);
-        const parameters = [{ name: "weight", value: 1 + number % WEIGHTS }];
-        const template = nameTemplate(number % TEMPLATES);
+        const id = formatWorkspaceId(number);
+        const parameters = [{ name: "weight", value: 1 + number % WEIGHT_COUNT }];
+        const template = formatTemplateName(number % TEMPLATE_COUNT);
         this.apply({
             kind: "workspace.create",
             id,
             template,
             parameters,
             tokenLimit: 1_000_000 + number,
-            ...this.author(),
+            ...this.makeAuthorship(),
         });
-        for (let key = 0; key < KEYS_EACH; key++) this.apply(this.makeGrant(id, number, key));
+        for (let key = 0; key < KEYS_PER_WORKSPACE; key++) this.apply(this.makeGrant(id, number, key));
     }
 
     private makeGrant(workspace: WorkspaceId, number: number, key: number): ConfigChange {
         const keyId = `key-${number}-${key}` as KeyId;
-        return { kind: "key.grant", workspace, keyId, hash: hashOf(keyId), ...this.author() };
+        return { kind: "key.grant", workspace, keyId, hash: hashOf(keyId), ...this.makeAuthorship() };
     }
 
-    private author(): { readonly changeId: ChangeId; readonly operator: string; } {
+    private makeAuthorship(): { readonly changeId: ChangeId; readonly operator: string; } {
         return { changeId: hashOf(`change-${this.index}`).slice(0, 32) as ChangeId, operator: OPERATOR };
     }
 }
 
-/** The name of the nth workspace. */
-export function nameWorkspace(number: number): WorkspaceId {
+/** Returns the ID of the nth workspace. */
+export function formatWorkspaceId(number: number): WorkspaceId {
     return `workspace-${String(number).padStart(5, "0")}` as WorkspaceId;
 }
 
-/** The hash of a workspace's first key. */
-export function hashOfKey(number: number): KeyHash {
+/** Returns the hash of the first key of the nth workspace. */
+export function hashOfFirstKey(number: number): KeyHash {
     return hashOf(`key-${number}-0`) as KeyHash;
 }
 
@@ -87,12 +87,12 @@
     return createHash("sha256").update(text).digest("hex") as KeyHash;
 }
 
-function nameTemplate(number: number): TemplateName {
+function formatTemplateName(number: number): TemplateName {
     return `template-${number}` as TemplateName;
 }
 
 function makeSpec(): TemplateSpec {
-    const classes = Array.from({ length: TIERS }, (_, tier) => ({
+    const classes = Array.from({ length: TIER_COUNT }, (_, tier) => ({
         name: `class-${tier}`,
         tier,
         firstTokenMs: 1_400,
--- a/src/bench/slopes/probes/announcements/index.ts
+++ b/src/bench/slopes/probes/announcements/index.ts
@@ -3,35 +3,35 @@
 import { timeCalls } from "../../measures/index.js";
 import { Probe, SlopeRecorder } from "../../probe/index.js";
 
-const EVENT_COUNTS = [0, 8, 16, 32, 64];
+const CACHE_EVENT_COUNTS = [0, 8, 16, 32, 64];
 const PREFIX_DIGITS = 16;
 
-/** An upstream's announcement: its size as JSON and as msgpack, and the cost to read it, by the cache events it carries. */
+/** Measures an upstream's announcement by the number of its cache events: size as JSON and msgpack, and time to decode. */
 export class AnnouncementProbe extends Probe {
     readonly name = "announcements";
 
     async run(recorder: SlopeRecorder): Promise<void> {
-        for (const events of EVENT_COUNTS) {
+        for (const events of CACHE_EVENT_COUNTS) {
             const announcement = makeAnnouncement(events);
             const text = JSON.stringify(announcement);
             const packed = encodeValue(announcement);
             recorder.add("announcement.json.bytes", events, Buffer.byteLength(text));
             recorder.add("announcement.msgpack.bytes", events, packed.length);
-            for (const us of await timeCalls(() => announcementSchema.parse(JSON.parse(text)))) {
-                recorder.add("announcement.read", events, us);
+            for (const durationUs of await timeCalls(() => announcementSchema.parse(JSON.parse(text)))) {
+                recorder.add("announcement.read", events, durationUs);
             }
-            for (const us of await timeCalls(() => decodeValue(packed))) {
-                recorder.add("announcement.unpack", events, us);
+            for (const durationUs of await timeCalls(() => decodeValue(packed))) {
+                recorder.add("announcement.unpack", events, durationUs);
             }
         }
     }
 }
 
-/** An engine's announcement as it would be in the middle of a day. */
+/** Creates an engine's announcement with typical load figures. */
 export function makeAnnouncement(events: number, index = 17): Announcement {
     const prefixes = Array.from(
         { length: events },
-        (_, place) => (place + index).toString(16).padStart(PREFIX_DIGITS, "0"),
+        (_, offset) => (offset + index).toString(16).padStart(PREFIX_DIGITS, "0"),
     );
     return {
         id: `engine-north-2-${index}`,
--- a/src/bench/slopes/probes/base/index.ts
+++ b/src/bench/slopes/probes/base/index.ts
@@ -1,12 +1,12 @@
 import { residentBytes, timeProcess } from "../../measures/index.js";
 import { Probe, SlopeRecorder } from "../../probe/index.js";
 
-/** What a role's code takes before it does anything: resident memory, and the processor time to load it. */
+/** Measures the resident memory of a role's code before it does any work, and the processor time to load it. */
 export class BaseProbe extends Probe {
     readonly name: string;
 
     /**
-     * @param role - The role's name in the slopes.
+     * @param role - Name of the role in the IDs of the slopes.
      * @param load - Loads the role's modules.
      */
     constructor(private readonly role: string, private readonly load: () => Promise<unknown>) {
@@ -28,7 +28,7 @@
         import("../../../../metrics/index.js"),
     ]);
 
-/** One probe for each role. */
+/** Probes of the roles, and of a bare Node process. */
 export const BASE_PROBES: readonly BaseProbe[] = [
     new BaseProbe("node", async () => undefined),
     new BaseProbe("entry", () => Promise.all([loadShared(), import("../../../../entry/index.js")])),
--- a/src/bench/slopes/probes/dispatch/index.ts
+++ b/src/bench/slopes/probes/dispatch/index.ts
@@ -9,12 +9,12 @@
 
 const UPSTREAM_COUNTS = [13, 25, 50, 100, 200];
 const WAITING_COUNTS = [100, 250, 500, 1_000, 2_000];
-const TICKETS = 2_000;
-const WORKSPACES = 500;
-const TIERS = 7;
-const SLOTS = 64;
+const TICKET_COUNT = 2_000;
+const WORKSPACE_COUNT = 500;
+const TIER_COUNT = 7;
+const SLOTS_PER_UPSTREAM = 64;
 
-/** The owner of a pool's queue: a request's whole way through it, by the pool's upstreams and by what waits. */
+/** Measures a request's way through a pool's queue, by the number of upstreams and of waiting requests. */
 export class DispatchProbe extends Probe {
     readonly name = "dispatch";
 
@@ -32,13 +32,13 @@
 async function measureGrants(upstreams: number, recorder: SlopeRecorder): Promise<void> {
     const { dispatcher } = makeDispatcher(upstreams);
     const { processorMs } = await timeProcess(async () => {
-        for (let index = 0; index < TICKETS; index++) await passThrough(dispatcher, makeTicket(index));
+        for (let index = 0; index < TICKET_COUNT; index++) await processRequest(dispatcher, makeTicket(index));
     });
-    recorder.add("dispatch.grant.processor", upstreams, processorMs / TICKETS * 1_000);
+    recorder.add("dispatch.grant.processor", upstreams, processorMs / TICKET_COUNT * 1_000);
     dispatcher.close();
 }
 
-/** With all slots taken, each completion grants one of those that wait, and a new one comes in its place. */
+/** With all slots in use, each completion grants a waiting ticket, and a new one replaces it in the queue. */
 async function measureWaiting(waiting: number, recorder: SlopeRecorder): Promise<void> {
     const { dispatcher, clock } = makeDispatcher(1);
     const granted: Ticket[] = [];
@@ -47,19 +47,19 @@
             decision.ifRight(() => granted.push(ticket))
         );
     };
-    for (let index = 0; index < SLOTS + waiting; index++) submit(makeTicket(index));
+    for (let index = 0; index < SLOTS_PER_UPSTREAM + waiting; index++) submit(makeTicket(index));
     await clock.advance(0);
-    const atFirst = dispatcher.countWaiting(makeTicket(0).pool);
+    const initialWaiting = dispatcher.countWaiting(makeTicket(0).pool);
     const { processorMs } = await timeProcess(async () => {
-        for (let index = 0; index < TICKETS; index++) {
-            const done = granted.shift();
-            if (!done) break;
-            complete(dispatcher, done);
-            submit(makeTicket(SLOTS + waiting + index));
+        for (let index = 0; index < TICKET_COUNT; index++) {
+            const completed = granted.shift();
+            if (!completed) break;
+            complete(dispatcher, completed);
+            submit(makeTicket(SLOTS_PER_UPSTREAM + waiting + index));
             await clock.advance(0);
         }
     });
-    recorder.add("dispatch.waiting.processor", atFirst, processorMs / TICKETS * 1_000);
+    recorder.add("dispatch.waiting.processor", initialWaiting, processorMs / TICKET_COUNT * 1_000);
     dispatcher.close();
     await clock.advance(0);
 }
@@ -73,7 +73,7 @@
     return { dispatcher, clock };
 }
 
-async function passThrough(dispatcher: LocalDispatcher, ticket: Ticket): Promise<void> {
+async function processRequest(dispatcher: LocalDispatcher, ticket: Ticket): Promise<void> {
     const decision = await dispatcher.submit(ticket, new AbortController().signal);
     if (decision.isLeft()) throw new Error(`refused: ${JSON.stringify(decision.extract())}`);
     dispatcher.progress(ticket.request, 1);
@@ -97,9 +97,9 @@
     return {
         request: index.toString(16).padStart(32, "0") as RequestId,
         origin: "north-2-entry-17",
-        workspace: `workspace-${index % WORKSPACES}` as WorkspaceId,
-        className: `class-${index % TIERS}`,
-        tier: index % TIERS,
+        workspace: `workspace-${index % WORKSPACE_COUNT}` as WorkspaceId,
+        className: `class-${index % TIER_COUNT}`,
+        tier: index % TIER_COUNT,
         weight: 1,
         pool: "general-70b",
         promptTokens: 800,
--- a/src/bench/slopes/probes/entry/standIn.ts
+++ b/src/bench/slopes/probes/entry/emulatedEngine.ts
@@ -10,20 +10,20 @@
 import { ANNOUNCE_PATH, EngineChunk, STREAM_DONE } from "../../../../protocol/index.js";
 import { makeAnnouncement } from "../announcements/index.js";
 
-const ANNOUNCE_EVERY_MS = 500;
+const ANNOUNCE_INTERVAL_MS = 500;
 const TIMEOUT_MS = 1_000;
 const SLOTS = 10_000;
-const BODY_BYTES = 65_536;
+const MAX_BODY_BYTES = 65_536;
 
-/** How an engine of the probe answers. */
-export interface StandInPace {
+/** Length of the answers in tokens, and time between tokens. */
+export interface ResponsePace {
     readonly tokens: number;
     readonly tokenMs: number;
 }
 
-/** The least engine that an entry takes for one: it streams tokens at an even pace and announces itself. */
-export class StandIn {
-    pace: StandInPace = { tokens: 1, tokenMs: 1 };
+/** Minimal engine that an entry accepts: it announces itself and streams tokens at a constant pace. */
+export class EmulatedEngine {
+    pace: ResponsePace = { tokens: 1, tokenMs: 1 };
     private listener: Listener | undefined;
     private sequence = 0;
 
@@ -35,7 +35,7 @@
 
     async start(): Promise<void> {
         const answer: HttpHandler = async (req, res) => {
-            const body = (await req.body(BODY_BYTES)).unsafeCoerce();
+            const body = (await req.body(MAX_BODY_BYTES)).unsafeCoerce();
             await this.stream(JSON.parse(Buffer.from(body).toString()).request_id, res);
         };
         this.listener = await this.http.serve({ host: "127.0.0.1", port: 0 }, DEFAULT_HTTP_LIMITS, answer);
@@ -60,8 +60,8 @@
                 connectTimeoutMs: TIMEOUT_MS,
                 headTimeoutMs: TIMEOUT_MS,
             });
-            await reply.map(({ body }) => readAll(body)).orDefault(Promise.resolve(0));
-            await this.clock.sleep(ANNOUNCE_EVERY_MS, signal);
+            await reply.map(({ body }) => countBytes(body)).orDefault(Promise.resolve(0));
+            await this.clock.sleep(ANNOUNCE_INTERVAL_MS, signal);
         }
     }
 
@@ -81,8 +81,8 @@
     }
 }
 
-/** Reads a body to its end and gives its size in bytes. */
-export async function readAll(body: AsyncIterable<Uint8Array>): Promise<number> {
+/** Reads a body to its end and returns its size in bytes. */
+export async function countBytes(body: AsyncIterable<Uint8Array>): Promise<number> {
     let size = 0;
     for await (const bytes of body) size += bytes.length;
     return size;
--- a/src/bench/slopes/probes/entry/index.ts
+++ b/src/bench/slopes/probes/entry/index.ts
@@ -28,22 +28,22 @@
 import { ConfigChange, hashKey } from "../../../../workspace/index.js";
 import { heapBytes, timeProcess } from "../../measures/index.js";
 import { Probe, SlopeRecorder } from "../../probe/index.js";
-import { readAll, StandIn } from "./standIn.js";
+import { countBytes, EmulatedEngine } from "./emulatedEngine.js";
 
 const REQUEST_RATES = [10, 20, 40, 80];
 const TOKEN_COUNTS = [10, 40, 80, 160];
-const TOKEN_REQUESTS = 20;
+const TOKEN_REQUEST_RATE = 20;
 const STREAM_COUNTS = [50, 100, 200, 400];
 const ROUNDS = 3;
 const RUN_MS = 1_000;
-const SLICE_MS = 25;
-const FAST_MS = 2;
-const SLOW_MS = 1_500;
-const POLL_MS = 20;
-const LONG_MS = 60_000;
+const INTERVAL_MS = 25;
+const FAST_TOKEN_MS = 2;
+const SLOW_TOKEN_MS = 1_500;
+const LEASE_POLL_MS = 20;
+const LONG_TIMEOUT_MS = 60_000;
 const VIEW_LEASE_MS = 3_000;
 const WINDOW_MS = 60_000;
-const KEY = `sqx_${"5e".repeat(16)}`;
+const API_KEY = `sqx_${"5e".repeat(16)}`;
 const LOOPBACK = "127.0.0.1";
 
 const clock = new SystemClock();
@@ -53,19 +53,20 @@
 const network = new TcpNetwork();
 
 /**
- * An entry with one control voter, over loopback TCP in this process: what requests, tokens and open streams cost beside the
- * direct way to the same stand-in. The figures are the differences; the voter's part is in them.
+ * Measures an entry with one control voter, over loopback TCP in this process: the cost of requests, tokens and open streams
+ * compared to direct calls of the same emulated engine. The values of requests and tokens are differences and include the
+ * voter's work; streams are recorded for both routes.
  */
 export class EntryProbe extends Probe {
     readonly name = "entry";
 
     async run(recorder: SlopeRecorder): Promise<void> {
         const lifecycle = new Lifecycle();
-        const standIn = new StandIn(clock, http);
-        await standIn.start();
-        lifecycle.own(() => standIn.close());
-        const entry = await startFleet(standIn, lifecycle);
-        const routes: Routes = { entry: entry.callerAddress!, direct: standIn.address, standIn };
+        const emulatedEngine = new EmulatedEngine(clock, http);
+        await emulatedEngine.start();
+        lifecycle.own(() => emulatedEngine.close());
+        const entry = await startFleet(emulatedEngine, lifecycle);
+        const routes: Routes = { entry: entry.callerAddress!, direct: emulatedEngine.address, emulatedEngine };
         await sendAtRate(routes, "entry", REQUEST_RATES[0]);
         await measureRequests(routes, recorder);
         await measureTokens(routes, recorder);
@@ -79,29 +80,33 @@
 interface Routes {
     readonly entry: Address;
     readonly direct: Address;
-    readonly standIn: StandIn;
+    readonly emulatedEngine: EmulatedEngine;
 }
 
 async function measureRequests(routes: Routes, recorder: SlopeRecorder): Promise<void> {
-    routes.standIn.pace = { tokens: 1, tokenMs: FAST_MS };
+    routes.emulatedEngine.pace = { tokens: 1, tokenMs: FAST_TOKEN_MS };
     for (const rate of REQUEST_RATES) {
         for (let round = 0; round < ROUNDS; round++) {
-            recorder.add("entry.request.processor", rate, await compare(routes, rate));
+            recorder.add("entry.request.processor", rate, await measureAddedProcessorMs(routes, rate));
         }
     }
 }
 
 async function measureTokens(routes: Routes, recorder: SlopeRecorder): Promise<void> {
     for (const tokens of TOKEN_COUNTS) {
-        routes.standIn.pace = { tokens, tokenMs: FAST_MS };
+        routes.emulatedEngine.pace = { tokens, tokenMs: FAST_TOKEN_MS };
         for (let round = 0; round < ROUNDS; round++) {
-            recorder.add("entry.token.processor", tokens * TOKEN_REQUESTS, await compare(routes, TOKEN_REQUESTS));
+            recorder.add(
+                "entry.token.processor",
+                tokens * TOKEN_REQUEST_RATE,
+                await measureAddedProcessorMs(routes, TOKEN_REQUEST_RATE),
+            );
         }
     }
 }
 
 async function measureStreams(routes: Routes, recorder: SlopeRecorder): Promise<void> {
-    routes.standIn.pace = { tokens: 2, tokenMs: SLOW_MS };
+    routes.emulatedEngine.pace = { tokens: 2, tokenMs: SLOW_TOKEN_MS };
     for (const count of STREAM_COUNTS) {
         for (const route of ["direct", "entry"] as const) {
             const before = heapBytes();
@@ -113,20 +118,20 @@
     }
 }
 
-/** Milliseconds of processor time a second that the way through the entry takes more than the direct one. */
-async function compare(routes: Routes, rate: number): Promise<number> {
+/** Returns the processor time that the route via the entry takes beyond the direct one, in milliseconds per second. */
+async function measureAddedProcessorMs(routes: Routes, rate: number): Promise<number> {
     const direct = await timeProcess(() => sendAtRate(routes, "direct", rate));
-    const through = await timeProcess(() => sendAtRate(routes, "entry", rate));
-    return (through.processorMs - direct.processorMs) / RUN_MS * 1_000;
+    const viaEntry = await timeProcess(() => sendAtRate(routes, "entry", rate));
+    return (viaEntry.processorMs - direct.processorMs) / RUN_MS * 1_000;
 }
 
 async function sendAtRate(routes: Routes, route: Route, rate: number): Promise<void> {
-    const slices = RUN_MS / SLICE_MS;
+    const intervals = RUN_MS / INTERVAL_MS;
     const answers: Promise<void>[] = [];
-    for (let slice = 0; slice < slices; slice++) {
-        const due = Math.round(rate * (slice + 1) / slices);
+    for (let interval = 0; interval < intervals; interval++) {
+        const due = Math.round(rate * (interval + 1) / intervals);
         while (answers.length < due) answers.push(send(routes, route));
-        await clock.sleep(SLICE_MS);
+        await clock.sleep(INTERVAL_MS);
     }
     await Promise.all(answers);
 }
@@ -143,18 +148,18 @@
         address: routes[route],
         method: "POST",
         path: route === "entry" ? CALLER_PATHS.chat : ENGINE_PATHS.chat,
-        headers: [["authorization", `Bearer ${KEY}`], ["content-type", "application/json"]],
+        headers: [["authorization", `Bearer ${API_KEY}`], ["content-type", "application/json"]],
         body: Buffer.from(JSON.stringify(body)),
         fresh: false,
-        connectTimeoutMs: LONG_MS,
-        headTimeoutMs: LONG_MS,
+        connectTimeoutMs: LONG_TIMEOUT_MS,
+        headTimeoutMs: LONG_TIMEOUT_MS,
     });
     const { status, body: answer } = reply.unsafeCoerce();
-    const size = await readAll(answer);
+    const size = await countBytes(answer);
     if (status !== 200 || size === 0) throw new Error(`status ${status}`);
 }
 
-async function startFleet(standIn: StandIn, lifecycle: Lifecycle): Promise<EntryProcess> {
+async function startFleet(emulatedEngine: EmulatedEngine, lifecycle: Lifecycle): Promise<EntryProcess> {
     const ports = { clock, random, network, http, logger, timing: DEFAULT_PEER_TIMING, windowMs: WINDOW_MS };
     const controlPeers = await findFreeAddress();
     const control = await startControl(ports, controlPeers);
@@ -177,7 +182,7 @@
         balancerMs: 0,
     });
     lifecycle.own(() => entry.close());
-    lifecycle.run(signal => standIn.announce(upstreams, signal), () => undefined);
+    lifecycle.run(signal => emulatedEngine.announce(upstreams, signal), () => undefined);
     await clock.sleep(RUN_MS);
     return entry;
 }
@@ -200,9 +205,14 @@
         logTiming: DEFAULT_LOG_TIMING,
         viewLeaseMs: VIEW_LEASE_MS,
         windowGraceMs: WINDOW_MS,
-        platform: { address: peers, checksFence: true, purchasePolicy: new NoPurchases(), purchasePeriodMs: LONG_MS },
+        platform: {
+            address: peers,
+            checksFence: true,
+            purchasePolicy: new NoPurchases(),
+            purchasePeriodMs: LONG_TIMEOUT_MS,
+        },
     });
-    while (!control.log.holdsLease()) await clock.sleep(POLL_MS);
+    while (!control.log.holdsLease()) await clock.sleep(LEASE_POLL_MS);
     return control;
 }
 
@@ -215,20 +225,20 @@
         classes: [{
             name: "c",
             tier: 0,
-            firstTokenMs: LONG_MS,
-            tokenMs: LONG_MS,
-            maxWaitMs: LONG_MS,
+            firstTokenMs: LONG_TIMEOUT_MS,
+            tokenMs: LONG_TIMEOUT_MS,
+            maxWaitMs: LONG_TIMEOUT_MS,
             guaranteedShare: 0,
         }],
         defaultClass: "c" as ClassName,
         pools: [],
         nonRepeatable: [],
     };
-    const by = (id: string) => ({ operator: "operator-1", changeId: id as ChangeId });
+    const makeAuthorship = (id: string) => ({ operator: "operator-1", changeId: id as ChangeId });
     const changes: readonly ConfigChange[] = [
-        { kind: "template.put", name, spec, base: 0, ...by("1") },
-        { kind: "workspace.create", id: workspace, template: name, parameters: [], ...by("2") },
-        { kind: "key.grant", workspace, keyId: "key-1" as KeyId, hash: hashKey(KEY), ...by("3") },
+        { kind: "template.put", name, spec, base: 0, ...makeAuthorship("1") },
+        { kind: "workspace.create", id: workspace, template: name, parameters: [], ...makeAuthorship("2") },
+        { kind: "key.grant", workspace, keyId: "key-1" as KeyId, hash: hashKey(API_KEY), ...makeAuthorship("3") },
     ];
     for (const change of changes) (await control.log.propose(change)).unsafeCoerce();
 }
--- a/src/bench/slopes/probes/index.ts
+++ b/src/bench/slopes/probes/index.ts
@@ -1,6 +1,6 @@
 import { Probe } from "../probe/index.js";
 
-/** Loads a probe's module: one probe a process, so that the modules of the others are not in its memory. */
+/** Loads the module of one probe only, so that the modules of the others aren't in the process's memory. */
 type ProbeLoader = () => Promise<Probe>;
 
 async function loadBase(name: string): Promise<Probe> {
@@ -26,13 +26,13 @@
     "entry": async () => new (await import("./entry/index.js")).EntryProbe(),
 };
 
-/** The probes' names, in the order in which they run. */
+/** Names of the probes, in the order in which they run. */
 export const PROBE_NAMES: readonly string[] = Object.keys(LOADERS);
 
 /**
- * Loads a probe.
+ * Loads a probe by its name.
  *
- * @throws RangeError when there is none of that name.
+ * @throws RangeError when there is no probe of that name.
  */
 export function loadProbe(name: string): Promise<Probe> {
     const load = LOADERS[name];
--- a/src/bench/slopes/probes/ledger/index.ts
+++ b/src/bench/slopes/probes/ledger/index.ts
@@ -1,17 +1,17 @@
 import { ControlCommand, ControlState } from "../../../../control/index.js";
 import { IdempotencyKey, RequestId } from "../../../../ids/index.js";
 import { decodeValue, encodeValue } from "../../../../wire/index.js";
-import { ROUNDS, timeProcess, weigh } from "../../measures/index.js";
+import { measureHeap, ROUNDS, timeProcess } from "../../measures/index.js";
 import { Probe, SlopeRecorder } from "../../probe/index.js";
-import { nameWorkspace, SampleState } from "../_lib/sampleState.js";
+import { formatWorkspaceId, SampleState } from "../_lib/sampleState.js";
 
 const RECORD_COUNTS = [5_000, 10_000, 20_000, 40_000];
-const WORKSPACES = 1_000;
+const WORKSPACE_COUNT = 1_000;
 const SMALL_ANSWER_BYTES = 200;
 const LARGE_ANSWER_BYTES = 16_384;
-const CALLS = 500;
+const CALLS_PER_ROUND = 500;
 
-/** Records of non-repeatable calls in the replicated state, each answered with a small body. */
+/** Measures records of non-repeatable calls in the replicated state, each answered with a small body. */
 export class LedgerProbe extends Probe {
     readonly name = "ledger";
 
@@ -22,7 +22,7 @@
             while (number < count) recordCall(sample, number++);
             const packed = encodeValue(sample.state.snapshot());
             recorder.add("ledger.bytes", count, packed.length);
-            recorder.add("ledger.heap", count, weigh(() => restore(packed)).bytes);
+            recorder.add("ledger.heap", count, measureHeap(() => restore(packed)).bytes);
         }
         for (const count of RECORD_COUNTS) {
             await measureCalls("ledger.call", count, SMALL_ANSWER_BYTES, recorder);
@@ -31,22 +31,22 @@
     }
 }
 
-/** With large answers the ledger is past the bytes of answers that it keeps, and drops one for each new one. */
+/** Large answers exceed the limit of retained answer bytes, so that each new answer evicts an older one. */
 async function measureCalls(id: string, count: number, answerBytes: number, recorder: SlopeRecorder): Promise<void> {
     const sample = new SampleState();
     let number = 0;
     while (number < count) recordCall(sample, number++, answerBytes);
     for (let round = 0; round < ROUNDS; round++) {
         const { processorMs } = await timeProcess(async () => {
-            for (let call = 0; call < CALLS; call++) recordCall(sample, number++, answerBytes);
+            for (let call = 0; call < CALLS_PER_ROUND; call++) recordCall(sample, number++, answerBytes);
         });
-        recorder.add(id, count, processorMs / CALLS * 1_000);
+        recorder.add(id, count, processorMs / CALLS_PER_ROUND * 1_000);
     }
 }
 
 function recordCall(sample: SampleState, number: number, answerBytes = SMALL_ANSWER_BYTES): void {
     const call = {
-        workspace: nameWorkspace(number % WORKSPACES),
+        workspace: formatWorkspaceId(number % WORKSPACE_COUNT),
         key: `order-${number}-of-the-day` as IdempotencyKey,
         request: number.toString(16).padStart(32, "0") as RequestId,
     };
--- a/src/bench/slopes/probes/log/index.ts
+++ b/src/bench/slopes/probes/log/index.ts
@@ -10,21 +10,24 @@
 import { timeProcess, timeRuns } from "../../measures/index.js";
 import { Probe, SlopeRecorder } from "../../probe/index.js";
 
-const VOTERS = 3;
+const VOTER_COUNT = 3;
 const ROUNDS = 3;
-const RATES = [100, 200, 400, 800, 1_200];
-const LENGTHS = [2_500, 5_000, 10_000, 20_000];
+const PROPOSAL_RATES = [100, 200, 400, 800, 1_200];
+const LOG_LENGTHS = [2_500, 5_000, 10_000, 20_000];
 const RUN_MS = 1_000;
-const SLICE_MS = 10;
+const INTERVAL_MS = 10;
 const POLL_MS = 20;
-const BATCH_LINES = 10;
-const PROPOSED_AT_ONCE = 500;
+const LINES_PER_BATCH = 10;
+const CONCURRENT_PROPOSALS = 500;
 
 const clock = new SystemClock();
 const random = new SystemRandom();
 const network = new TcpNetwork();
 
-/** The control log: three voters in this process over loopback TCP, with data folders on disk. The commands are usage batches. */
+/**
+ * Measures the control log with three voters in this process, loopback TCP and data folders on disk: processor time by rate
+ * of proposals, and replay by length of the log. The commands are usage batches.
+ */
 export class LogProbe extends Probe {
     readonly name = "log";
 
@@ -35,22 +38,22 @@
 
     private async measureEntries(recorder: SlopeRecorder): Promise<void> {
         const lifecycle = new Lifecycle();
-        const logs = await startVoters(VOTERS, lifecycle);
+        const logs = await startVoters(VOTER_COUNT, lifecycle);
         const leader = await awaitHolder(logs);
-        await proposeAtRate(leader, RATES[0]);
+        await proposeAtRate(leader, PROPOSAL_RATES[0]);
         const idle = await timeProcess(() => clock.sleep(RUN_MS));
-        recorder.add("log.entry.processor", 0, idle.processorMs / idle.elapsedMs * 1_000 / VOTERS);
-        for (const rate of RATES) {
+        recorder.add("log.entry.processor", 0, idle.processorMs / idle.elapsedMs * 1_000 / VOTER_COUNT);
+        for (const rate of PROPOSAL_RATES) {
             for (let round = 0; round < ROUNDS; round++) {
                 const { processorMs, elapsedMs } = await timeProcess(() => proposeAtRate(leader, rate));
-                recorder.add("log.entry.processor", rate, processorMs / elapsedMs * 1_000 / VOTERS);
+                recorder.add("log.entry.processor", rate, processorMs / elapsedMs * 1_000 / VOTER_COUNT);
             }
         }
         await lifecycle.close();
     }
 
     private async measureReplay(recorder: SlopeRecorder): Promise<void> {
-        for (const length of LENGTHS) {
+        for (const length of LOG_LENGTHS) {
             const disk = await makeDisk();
             await fillLog(disk, length);
             const times = await timeRuns(async () => {
@@ -64,9 +67,9 @@
     }
 }
 
-let sequence = 1;
+let nextSequence = 1;
 
-/** A new data folder below `data`, which the repository ignores. */
+/** Creates a new data folder below `data`, which the repository ignores. */
 async function makeDisk(): Promise<Disk> {
     const disk = new FileDisk(`data/slopes/${random.id()}`);
     await disk.makeFolder("");
@@ -74,7 +77,7 @@
 }
 
 async function startVoters(count: number, lifecycle: Lifecycle, disks: Disk[] = []): Promise<ReplicatedLog[]> {
-    const seats: { router: PeerRouter; address: Address; host: HostId; }[] = [];
+    const voters: { router: PeerRouter; address: Address; host: HostId; }[] = [];
     for (let index = 0; index < count; index++) {
         const router = new PeerRouter();
         const host = `control-${index}` as HostId;
@@ -88,11 +91,11 @@
             address: { host: "127.0.0.1", port: 0 },
         });
         lifecycle.own(() => listener.close());
-        seats.push({ router, host, address: listener.address });
+        voters.push({ router, host, address: listener.address });
     }
-    const bootstrap = seats.map(({ host, address }) => ({ host, address }));
+    const bootstrap = voters.map(({ host, address }) => ({ host, address }));
     const logs: ReplicatedLog[] = [];
-    for (const [index, { router, host, address }] of seats.entries()) {
+    for (const [index, { router, host, address }] of voters.entries()) {
         const log = await ReplicatedLog.open({
             network,
             clock,
@@ -131,25 +134,25 @@
     const lifecycle = new Lifecycle();
     const [log] = await startVoters(1, lifecycle, [disk]);
     await awaitHolder([log]);
-    for (let done = 0; done < length; done += PROPOSED_AT_ONCE) {
-        await Promise.all(Array.from({ length: PROPOSED_AT_ONCE }, () => log.propose(makeBatch())));
+    for (let proposed = 0; proposed < length; proposed += CONCURRENT_PROPOSALS) {
+        await Promise.all(Array.from({ length: CONCURRENT_PROPOSALS }, () => log.propose(makeBatch())));
     }
     await lifecycle.close();
 }
 
 async function proposeAtRate(log: ReplicatedLog, rate: number): Promise<void> {
-    const slices = RUN_MS / SLICE_MS;
+    const intervals = RUN_MS / INTERVAL_MS;
     const results: Promise<unknown>[] = [];
-    for (let slice = 0; slice < slices; slice++) {
-        const due = Math.round(rate * (slice + 1) / slices);
+    for (let interval = 0; interval < intervals; interval++) {
+        const due = Math.round(rate * (interval + 1) / intervals);
         while (results.length < due) results.push(log.propose(makeBatch()));
-        await clock.sleep(SLICE_MS);
+        await clock.sleep(INTERVAL_MS);
     }
     await Promise.all(results);
 }
 
 function makeBatch(): UsageBatchCommand {
-    const sums = Array.from({ length: BATCH_LINES }, (_, index) => ({
+    const sums = Array.from({ length: LINES_PER_BATCH }, (_, index) => ({
         window: 1_780_000_020_000 as WindowStart,
         line: {
             workspace: `workspace-${index}`,
@@ -160,5 +163,11 @@
             completion_tokens: 760,
         },
     }));
-    return { kind: "usage.batch", host: "north-2-entry-17", incarnation: "0f".repeat(16), sequence: sequence++, sums };
+    return {
+        kind: "usage.batch",
+        host: "north-2-entry-17",
+        incarnation: "0f".repeat(16),
+        sequence: nextSequence++,
+        sums,
+    };
 }
--- a/src/bench/slopes/probes/pulls/index.ts
+++ b/src/bench/slopes/probes/pulls/index.ts
@@ -13,30 +13,30 @@
 import { SampleState } from "../_lib/sampleState.js";
 
 const ENTRY_COUNTS = [50, 100, 200, 300, 410];
-const WORKSPACES = 1_000;
-const CHANGES = 20;
+const WORKSPACE_COUNT = 1_000;
+const CHANGE_COUNT = 20;
 const IDLE_MS = 20_000;
 const SETTLE_MS = 20;
 const PULL_WAIT_MS = 2_000;
 const VIEW_LEASE_MS = 3_000;
-const RATES = [1, 2, 5, 10];
-const RATE_ENTRIES = 200;
-const RATE_MS = 5_000;
+const CHANGE_RATES = [1, 2, 5, 10];
+const RATE_ENTRY_COUNT = 200;
+const RATE_RUN_MS = 5_000;
 
 /**
- * The holder's work for entries that keep their view fresh, by the number of entries: pulls without news, and a change that
- * goes to each. Questions and answers are encoded and decoded; the sockets' share is in the probe of the wire.
+ * Measures the holder's work for the view pulls of entries, by the number of entries: pulls without a change, and a change
+ * sent to every entry. Requests and replies are encoded and decoded; the wire probe measures the cost of the sockets.
  */
 export class PullProbe extends Probe {
     readonly name = "pulls";
 
     async run(recorder: SlopeRecorder): Promise<void> {
         for (const count of ENTRY_COUNTS) await this.measureEntries(count, recorder);
-        const fleet = await startFleet(RATE_ENTRIES);
-        for (const rate of RATES) {
+        const fleet = await startFleet(RATE_ENTRY_COUNT);
+        for (const rate of CHANGE_RATES) {
             for (let round = 0; round < ROUNDS; round++) {
                 const { processorMs } = await timeProcess(() => applyAtRate(fleet, rate));
-                recorder.add("pulls.rate.processor", rate, processorMs / RATE_MS * 1_000);
+                recorder.add("pulls.rate.processor", rate, processorMs / RATE_RUN_MS * 1_000);
             }
         }
         await fleet.close();
@@ -48,7 +48,7 @@
             const idle = await timeProcess(() => clock.advance(IDLE_MS));
             recorder.add("pulls.idle.processor", count, idle.processorMs / IDLE_MS * 1_000);
             const busy = await timeProcess(() => applyChanges(sample, clock));
-            recorder.add("pulls.change.processor", count, busy.processorMs / CHANGES);
+            recorder.add("pulls.change.processor", count, busy.processorMs / CHANGE_COUNT);
         }
         recorder.add("pulls.idle.bytes", count, entries[0].idleBytes);
         recorder.add("pulls.list.bytes", count, entries[0].listBytes);
@@ -66,7 +66,7 @@
 async function startFleet(count: number): Promise<PullingFleet> {
     const clock = new VirtualClock();
     const sample = new SampleState();
-    sample.grow(WORKSPACES);
+    sample.growTo(WORKSPACE_COUNT);
     const group = new MemoryLogGroup(clock);
     const log = group.join("holder" as HostId, sample.state);
     group.elect("holder" as HostId);
@@ -84,23 +84,23 @@
 }
 
 async function applyAtRate({ sample, clock }: PullingFleet, rate: number): Promise<void> {
-    for (let change = 0; change < rate * RATE_MS / 1_000; change++) {
+    for (let change = 0; change < rate * RATE_RUN_MS / 1_000; change++) {
         sample.changeLimit(change);
         await clock.advance(1_000 / rate);
     }
 }
 
 async function applyChanges(sample: SampleState, clock: VirtualClock): Promise<void> {
-    for (let change = 0; change < CHANGES; change++) {
+    for (let change = 0; change < CHANGE_COUNT; change++) {
         sample.changeLimit(change);
         await clock.advance(SETTLE_MS);
     }
 }
 
 class PullingEntry {
-    /** Of the last question and answer without news, in bytes. */
+    /** Size of the last request and reply without a change, in bytes. */
     idleBytes = 0;
-    /** Of the last answer that named all entries, in bytes. */
+    /** Size of the last reply that listed all entries, in bytes. */
     listBytes = 0;
     private readonly handler: PeerHandler;
     private pull: ViewPull;
@@ -129,12 +129,12 @@
     }
 
     private async pullOnce(): Promise<void> {
-        const question = encodeFrame([2, 1, VIEW_PULL_METHOD, this.pull]);
+        const requestFrame = encodeFrame([2, 1, VIEW_PULL_METHOD, this.pull]);
         const reply = await this.handler(decodeValue(encodeValue(this.pull)), undefined as unknown as PeerChannel);
-        const answer = encodeFrame([3, 1, "", reply]);
+        const replyFrame = encodeFrame([3, 1, "", reply]);
         const { change, entriesVersion, entriesUnchanged } = decodeValue(encodeValue(reply)) as ViewPullReply;
-        if (!entriesUnchanged) this.listBytes = answer.length;
-        if (!change && entriesUnchanged) this.idleBytes = question.length + answer.length;
+        if (!entriesUnchanged) this.listBytes = replyFrame.length;
+        if (!change && entriesUnchanged) this.idleBytes = requestFrame.length + replyFrame.length;
         this.pull = { ...this.pull, revision: change?.revision ?? this.pull.revision, entriesVersion };
     }
 }
--- a/src/bench/slopes/probes/upstreams/index.ts
+++ b/src/bench/slopes/probes/upstreams/index.ts
@@ -9,10 +9,10 @@
 
 const UPSTREAM_COUNTS = [225, 450, 900, 1_350, 1_800];
 const HOST_COUNTS = [50, 100, 200, 300, 410];
-const POOLS = 9;
-const EVENTS = 8;
+const POOL_COUNT = 9;
+const CACHE_EVENT_COUNT = 8;
 
-/** The registry of upstreams, by how many it knows; and the choice of a pool's owner, by how many hosts there are. */
+/** Measures the upstream registry by the number of upstreams, and the choice of a pool's owner by the number of hosts. */
 export class UpstreamProbe extends Probe {
     readonly name = "upstreams";
 
@@ -20,8 +20,8 @@
         for (const count of UPSTREAM_COUNTS) await measureRegistry(count, recorder);
         for (const count of HOST_COUNTS) {
             const hosts = Array.from({ length: count }, (_, index) => `north-2-entry-${index}` as HostId);
-            const choose = (): unknown => rankPoolOwners("general-70b" as PoolId, "north", hosts);
-            recorder.addAll("owner.choose", count, await timeCalls(choose));
+            const rankOwners = (): unknown => rankPoolOwners("general-70b" as PoolId, "north", hosts);
+            recorder.addAll("owner.choose", count, await timeCalls(rankOwners));
         }
     }
 }
@@ -36,15 +36,15 @@
         registry,
         zone: "north-2" as ZoneId,
     });
-    for (let index = 0; index < count; index++) registry.announce(makeInPool(index, 1));
+    for (let index = 0; index < count; index++) registry.announce(makePoolAnnouncement(index, 1));
     recorder.add("registry.heap", count, heapBytes() - before);
     let sequence = 1;
-    const announce = (): unknown => registry.announce(makeInPool(sequence % count, 1 + ++sequence));
+    const announce = (): unknown => registry.announce(makePoolAnnouncement(sequence % count, 1 + ++sequence));
     recorder.addAll("registry.announce", count, await timeCalls(announce));
     recorder.addAll("registry.expire", count, await timeCalls(() => registry.expire()));
     dispatcher.close();
 }
 
-function makeInPool(index: number, sequence: number): Announcement {
-    return { ...makeAnnouncement(EVENTS, index), sequence, pools: [`pool-${index % POOLS}`] };
+function makePoolAnnouncement(index: number, sequence: number): Announcement {
+    return { ...makeAnnouncement(CACHE_EVENT_COUNT, index), sequence, pools: [`pool-${index % POOL_COUNT}`] };
 }
--- a/src/bench/slopes/probes/view/index.ts
+++ b/src/bench/slopes/probes/view/index.ts
@@ -1,19 +1,19 @@
 import { packChange, ViewCache, ViewChange } from "../../../../control/index.js";
 import { decodeValue, encodeValue } from "../../../../wire/index.js";
-import { timeCalls, timeRuns, weigh } from "../../measures/index.js";
+import { measureHeap, timeCalls, timeRuns } from "../../measures/index.js";
 import { Probe, SlopeRecorder } from "../../probe/index.js";
-import { hashOfKey, SampleState } from "../_lib/sampleState.js";
+import { hashOfFirstKey, SampleState } from "../_lib/sampleState.js";
 
 const WORKSPACE_COUNTS = [5_000, 10_000, 20_000, 30_000, 40_000];
 
-/** An entry's view of the configuration, by the number of workspaces. */
+/** Measures an entry's view of the configuration by the number of workspaces. */
 export class ViewProbe extends Probe {
     readonly name = "view";
 
     async run(recorder: SlopeRecorder): Promise<void> {
         const sample = new SampleState();
         for (const count of WORKSPACE_COUNTS) {
-            sample.grow(count);
+            sample.growTo(count);
             await measureView(sample, count, recorder);
         }
     }
@@ -28,20 +28,20 @@
     recorder.addAll("view.full.pack", count, await timeRuns(() => packChange(sample.state.changeSince(0))));
     recorder.addAll("view.full.encode", count, await timeRuns(() => encodeValue(message)));
     recorder.addAll("view.full.apply", count, await timeRuns(() => loadView(packed)));
-    const { value: cache, bytes } = weigh(() => loadView(packed));
+    const { value: cache, bytes } = measureHeap(() => loadView(packed));
     recorder.add("view.heap", count, bytes);
-    let turn = 0;
+    let keyIndex = 0;
     recorder.addAll(
         "view.find",
         count,
         await timeCalls(() => {
-            turn = (turn + 1) % count;
-            return cache.findByKey(hashOfKey(turn));
+            keyIndex = (keyIndex + 1) % count;
+            return cache.findByKey(hashOfFirstKey(keyIndex));
         }),
     );
-    const before = sample.state.revision;
+    const revisionBefore = sample.state.revision;
     sample.changeLimit(0);
-    const delta = encodeValue(packChange(sample.state.changeSince(before)));
+    const delta = encodeValue(packChange(sample.state.changeSince(revisionBefore)));
     recorder.add("view.change.bytes", count, delta.length);
     recorder.addAll("view.change.apply", count, await timeCalls(() => cache.apply(decodeValue(delta) as ViewChange)));
 }
--- a/src/bench/slopes/probes/wire/index.ts
+++ b/src/bench/slopes/probes/wire/index.ts
@@ -8,20 +8,20 @@
 const LOOPBACK: Address = { host: "127.0.0.1", port: 0 };
 const LINK_COUNTS = [50, 100, 200, 300, 410];
 const CALL_RATES = [100, 200, 400, 800];
-const IDLE_MS = 1_500;
-const CALLING_MS = 1_000;
+const IDLE_RUN_MS = 1_500;
+const CALL_RUN_MS = 1_000;
 const CALL_TIMEOUT_MS = 5_000;
-const CALL_SLICE_MS = 10;
-const ENDS = 2;
-const CONNECT_MS = 50;
-/** Kind of a ping, as `peerChannel` sends it. */
+const CALL_INTERVAL_MS = 10;
+const ENDS_PER_LINK = 2;
+const CONNECT_POLL_MS = 50;
+/** Ping frame, as `peerChannel` sends it. */
 const PING_FRAME = [1, 0, ""];
 
 const clock = new SystemClock();
 const network = new TcpNetwork();
 const random = new SystemRandom();
 
-/** Channels between own processes over loopback TCP, both ends in this process: what idle ones cost, and what calls cost. */
+/** Measures idle peer links and calls over loopback TCP, with both ends in this process. */
 export class WireProbe extends Probe {
     readonly name = "wire";
 
@@ -34,10 +34,10 @@
         const before = heapBytes();
         const lifecycle = new Lifecycle();
         await openLinks(count, lifecycle);
-        recorder.add("wire.link.heap", count, (heapBytes() - before) / ENDS);
+        recorder.add("wire.link.heap", count, (heapBytes() - before) / ENDS_PER_LINK);
         for (let round = 0; round < ROUNDS; round++) {
-            const { processorMs, elapsedMs } = await timeProcess(() => clock.sleep(IDLE_MS));
-            recorder.add("wire.link.processor", count, processorMs / elapsedMs * 1_000 / ENDS);
+            const { processorMs, elapsedMs } = await timeProcess(() => clock.sleep(IDLE_RUN_MS));
+            recorder.add("wire.link.processor", count, processorMs / elapsedMs * 1_000 / ENDS_PER_LINK);
         }
         await lifecycle.close();
         const pingsPerSecond = 1_000 / DEFAULT_PEER_TIMING.heartbeatMs;
@@ -50,7 +50,7 @@
         await callAtRate(link, rate);
         for (let round = 0; round < ROUNDS; round++) {
             const { processorMs, elapsedMs } = await timeProcess(() => callAtRate(link, rate));
-            recorder.add("wire.call.processor", rate, processorMs / elapsedMs * 1_000 / ENDS);
+            recorder.add("wire.call.processor", rate, processorMs / elapsedMs * 1_000 / ENDS_PER_LINK);
         }
         await lifecycle.close();
     }
@@ -79,17 +79,17 @@
         lifecycle.child().run(signal => link.run(signal), () => undefined);
         links.push(link);
     }
-    while (links.some(link => !link.isOpen)) await clock.sleep(CONNECT_MS);
+    while (links.some(link => !link.isOpen)) await clock.sleep(CONNECT_POLL_MS);
     return links;
 }
 
 async function callAtRate(link: PeerLink, rate: number): Promise<void> {
-    const slices = CALLING_MS / CALL_SLICE_MS;
+    const intervals = CALL_RUN_MS / CALL_INTERVAL_MS;
     const answers: Promise<unknown>[] = [];
-    for (let slice = 0; slice < slices; slice++) {
-        const due = Math.round(rate * (slice + 1) / slices);
+    for (let interval = 0; interval < intervals; interval++) {
+        const due = Math.round(rate * (interval + 1) / intervals);
         while (answers.length < due) answers.push(link.call("echo", { request: "r-1", tokens: 128 }, CALL_TIMEOUT_MS));
-        await clock.sleep(CALL_SLICE_MS);
+        await clock.sleep(CALL_INTERVAL_MS);
     }
     await Promise.all(answers);
 }
--- a/src/bench/slopes/slopeFile/index.ts
+++ b/src/bench/slopes/slopeFile/index.ts
@@ -5,9 +5,9 @@
 const pointSchema = z.object({ x: z.number(), samples: z.array(z.number()).min(1) });
 
 const slopeSchema = z.object({
-    /** Names the slope, such as `view.heap`. */
+    /** ID of the slope, such as `view.heap`. */
     id: z.string(),
-    /** The date of its run, as `YYYY-MM-DD`. */
+    /** Date of the run, as `YYYY-MM-DD`. */
     date: z.string(),
     points: z.array(pointSchema).min(1),
 });
@@ -21,33 +21,33 @@
 
 const slopeFileSchema = z.object({ machine: machineSchema, slopes: z.array(slopeSchema) });
 
-/** The raw figures of one slope. */
+/** Samples of one slope. */
 export type Slope = z.output<typeof slopeSchema>;
-/** What the figures were taken on. */
+/** Machine on which the samples were taken. */
 export type Machine = z.output<typeof machineSchema>;
-/** All raw figures: the content of `bench/slopes.json`. */
+/** All samples: the content of `bench/slopes.json`. */
 export type SlopeFile = z.output<typeof slopeFileSchema>;
 
-/** Where the raw figures stand, from the repository's root. */
+/** Path of the samples, relative to the repository's root. */
 export const SLOPE_FILE = "bench/slopes.json";
 
-const GIGABYTE = 1_000_000_000;
+const BYTES_PER_GB = 1_000_000_000;
 
-/** What this process runs on. */
+/** Describes the machine that this process runs on. */
 export function describeMachine(): Machine {
     return {
         processor: cpus()[0]?.model ?? "unknown",
         cores: availableParallelism(),
-        memoryGb: Math.round(totalmem() / GIGABYTE),
+        memoryGb: Math.round(totalmem() / BYTES_PER_GB),
         node: process.version,
     };
 }
 
 /**
- * Reads the raw figures.
+ * Reads the samples.
  *
- * @returns No slopes when there is no file.
- * @throws ZodError when the file is not of the right shape.
+ * @returns An empty list of slopes when there is no file.
+ * @throws ZodError when the content doesn't match the schema.
  */
 export async function readSlopeFile(disk: Disk): Promise<SlopeFile> {
     const bytes = await disk.read(SLOPE_FILE);
@@ -55,15 +55,15 @@
     return slopeFileSchema.parse(JSON.parse(Buffer.from(bytes).toString()));
 }
 
-/** Puts new slopes in the place of older ones with the same id. */
-export function mergeSlopes(file: SlopeFile, fresh: readonly Slope[]): SlopeFile {
-    const ids = new Set(fresh.map(slope => slope.id));
-    const kept = file.slopes.filter(slope => !ids.has(slope.id));
-    const slopes = [...kept, ...fresh].sort((a, b) => a.id < b.id ? -1 : 1);
+/** Replaces slopes by new ones with the same ID and adds the rest. */
+export function mergeSlopes(file: SlopeFile, newSlopes: readonly Slope[]): SlopeFile {
+    const ids = new Set(newSlopes.map(slope => slope.id));
+    const unchangedSlopes = file.slopes.filter(slope => !ids.has(slope.id));
+    const slopes = [...unchangedSlopes, ...newSlopes].sort((a, b) => a.id < b.id ? -1 : 1);
     return { machine: describeMachine(), slopes };
 }
 
-/** Writes the raw figures, one point a line. */
+/** Writes the samples, with one point per line. */
 export async function writeSlopeFile(disk: Disk, file: SlopeFile): Promise<void> {
     const slopes = file.slopes.map(({ id, date, points }) => {
         const lines = points.map(point => `            ${JSON.stringify(point)}`).join(",\n");
--- a/src/bench/slopes/slopeBook/index.ts
+++ b/src/bench/slopes/slopeTable/index.ts
@@ -1,49 +1,49 @@
-import { fitLine, LEAST_POINTS, LineFit, predict } from "../fit/index.js";
+import { fitLine, LineFit, MIN_POINTS, predict } from "../fit/index.js";
 import { Slope, SlopeFile } from "../slopeFile/index.js";
 
-/** The measured slopes, to be read off at other sizes. */
-export class SlopeBook {
+/** Looks up measured slopes by ID and predicts their values at other sizes. */
+export class SlopeTable {
     constructor(readonly file: SlopeFile) {}
 
-    /** The figure that a slope's line gives at a size. */
-    at(id: string, x: number): number {
+    /** Returns the value of a slope's fitted line at a size. */
+    predictAt(id: string, x: number): number {
         return predict(this.fit(id), x);
     }
 
-    /** What one unit of size adds. */
+    /** Returns the increase per unit of size. */
     perUnit(id: string): number {
         return this.fit(id).perUnit;
     }
 
-    /** The mean of all samples, for a figure that does not depend on the size. */
+    /** Returns the mean of all samples, for a value that doesn't depend on the size. */
     mean(id: string): number {
         return meanOf(this.find(id).points.flatMap(point => point.samples));
     }
 
-    /** The mean at the smallest size. */
-    first(id: string): number {
+    /** Returns the mean at the smallest size. */
+    meanAtSmallestSize(id: string): number {
         return meanOf(this.find(id).points[0].samples);
     }
 
-    /** The mean at the largest size, for a figure that is no straight line. */
-    last(id: string): number {
+    /** Returns the mean at the largest size, for a slope that isn't a straight line. */
+    meanAtLargestSize(id: string): number {
         return meanOf(this.find(id).points.at(-1)!.samples);
     }
 
-    /** The smallest size measured. */
-    smallest(id: string): number {
+    /** Returns the smallest size measured. */
+    smallestSize(id: string): number {
         return this.find(id).points[0].x;
     }
 
-    /** The largest size measured. */
-    largest(id: string): number {
+    /** Returns the largest size measured. */
+    largestSize(id: string): number {
         return this.find(id).points.at(-1)!.x;
     }
 
-    /** The line through a slope's points; undefined when there are too few. */
+    /** Returns the line fitted to a slope; undefined when it has fewer than `MIN_POINTS` points. */
     tryFit(id: string): LineFit | undefined {
         const { points } = this.find(id);
-        return points.length < LEAST_POINTS ? undefined : fitLine(points);
+        return points.length < MIN_POINTS ? undefined : fitLine(points);
     }
 
     private fit(id: string): LineFit {
