--- a/src/bench/policy/demandMeter/index.ts
+++ b/src/bench/policy/demandMeter/index.ts
@@ -21,7 +21,7 @@
     constructor(private readonly deployment: Deployment, private readonly requests: readonly PlannedRequest[]) {}
 
     /** Returns the demand of the classes' steady traffic, without bursts. */
-    steadyDemand(): readonly TierDemand[] {
+    steady(): readonly TierDemand[] {
         return this.deployment.classes.map(profile => this.demandOf(profile, profile.perSecond));
     }
 
--- a/src/bench/policy/platformFake/index.ts
+++ b/src/bench/policy/platformFake/index.ts
@@ -77,8 +77,8 @@
                 continue;
             }
             const { pool, zone, reclaimable } = order;
-            const { available } = this.offers().find(makeOffer =>
-                makeOffer.pool === pool && makeOffer.zone === zone && makeOffer.reclaimable === reclaimable
+            const { available } = this.offers().find(offer =>
+                offer.pool === pool && offer.zone === zone && offer.reclaimable === reclaimable
             )!;
             const count = Math.min(order.count, available);
             if (count === 0) continue;
--- a/src/bench/policy/run/index.ts
+++ b/src/bench/policy/run/index.ts
@@ -42,13 +42,13 @@
     const callers = new CallerFake({ clock, deployment, policySet, fleet, findEngine: id => engines.get(id) });
     const meter = new DemandMeter(deployment, requests);
     const purchase = policySet.createPurchase(deployment);
-    const planPurchases = (demand: ReturnType<DemandMeter["steadyDemand"]>): ReturnType<typeof purchase.plan> => {
+    const planPurchases = (demand: ReturnType<DemandMeter["steady"]>): ReturnType<typeof purchase.plan> => {
         const { owned, pendingStarts: pending } = platform;
         return purchase.plan({ now: clock.now(), demand, owned, pending, offers: platform.offers() });
     };
     // Only the second plan knows the slots of each pool's engines, from those that the first one started.
-    platform.placeOrders(planPurchases(meter.steadyDemand()), true);
-    platform.placeOrders(planPurchases(meter.steadyDemand()), true);
+    platform.placeOrders(planPurchases(meter.steady()), true);
+    platform.placeOrders(planPurchases(meter.steady()), true);
     await clock.advance(WARM_UP_MS);
     for (const request of requests) clock.after(request.atMs - WARM_UP_MS, () => void callers.simulate(request));
     for (const event of scenario.events) {
--- a/src/bench/policy/score/index.ts
+++ b/src/bench/policy/score/index.ts
@@ -87,7 +87,7 @@
         attainment: ratio(attained.length, run.records.length),
         goodput: ratio(sumTokens(attained, record => record.planned.answerTokens), sumServeableTokens(run)),
         wasted: ratio(sumTokens(run.records, record => record.wastedTokens), totalComputed),
-        worstServed: findLowestFairShare(run),
+        worstServed: findWorstServedRatio(run),
         inversions: run.inversions,
         costPerAttained: ratio(run.bill, attained.length),
         reclaimableShare: ratio(sumTokens(run.records, record => record.reclaimableTokens), deliveredTokens),
@@ -123,7 +123,7 @@
  * Returns the lowest ratio of attained tokens to fair share among the workspaces. Fair shares are computed within each
  * class and then summed, since tiers take precedence over fairness.
  */
-function findLowestFairShare(run: RunOutcome): number {
+function findWorstServedRatio(run: RunOutcome): number {
     const { workspaces, classes } = run.deployment;
     const servedTokens = workspaces.map(() => 0);
     const fairTokens = workspaces.map(() => 0);
--- a/src/bench/policy/traffic/index.ts
+++ b/src/bench/policy/traffic/index.ts
@@ -54,9 +54,9 @@
 }
 
 function addBurst(deployment: Deployment, burst: Burst, random: Random, requests: PlannedRequest[]): void {
-    const matches = (candidate: ClassProfile): boolean =>
+    const isBurstClass = (candidate: ClassProfile): boolean =>
         burst.targetsTopClass ? candidate.tier === 0 : candidate.name === deployment.burstClass;
-    const profile = deployment.classes.find(matches)!;
+    const profile = deployment.classes.find(isBurstClass)!;
     const addedPerSecond = burstPerSecond(deployment, profile, burst.load);
     const workspace = burst.workspace === undefined ? undefined : deployment.workspaces[burst.workspace];
     drawArrivals(addedPerSecond, burst.fromMs, burst.toMs, random, atMs => {
--- a/src/bench/slopes/capacity/_lib/size.ts
+++ b/src/bench/slopes/capacity/_lib/size.ts
@@ -46,8 +46,8 @@
 
 const DAY_SECONDS = 86_400;
 
-/** Share of the load that falls on one node. */
-export const PER_NODE = {
+/** Load derived from the size: rates and streams of one node, and the queues and list changes of the whole system. */
+export const DERIVED_LOAD = {
     requestsPerSecond: TARGET_SIZE.requestsPerSecond / TARGET_SIZE.nodes,
     tokensPerSecond: TARGET_SIZE.tokensPerSecond / TARGET_SIZE.nodes,
     announcementsPerSecond: TARGET_SIZE.upstreams * ASSUMPTIONS.announcementsPerSecond / TARGET_SIZE.nodes,
--- a/src/bench/slopes/capacity/index.ts
+++ b/src/bench/slopes/capacity/index.ts
@@ -2,7 +2,7 @@
 import { SlopeTable } from "../slopeTable/index.js";
 import { formatNumber } from "./_lib/format.js";
 import { formatSection } from "./_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "./_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "./_lib/size.js";
 import { formatTotals } from "./_lib/totals.js";
 import { describeEvents } from "./roles/events.js";
 import { describeOwner } from "./roles/owner.js";
@@ -66,11 +66,11 @@
         formatNumber(TARGET_SIZE.changesPerDay)
     } changes of configuration, ${TARGET_SIZE.failuresPerDay} failures and
 ${TARGET_SIZE.restartsPerDay} restarts a day. For one node that is ${
-        formatNumber(PER_NODE.requestsPerSecond)
-    } requests, ${formatNumber(PER_NODE.tokensPerSecond)} tokens and ${
-        formatNumber(PER_NODE.announcementsPerSecond)
+        formatNumber(DERIVED_LOAD.requestsPerSecond)
+    } requests, ${formatNumber(DERIVED_LOAD.tokensPerSecond)} tokens and ${
+        formatNumber(DERIVED_LOAD.announcementsPerSecond)
     } announcements a second,
-and ${formatNumber(PER_NODE.openStreams)} open streams.
+and ${formatNumber(DERIVED_LOAD.openStreams)} open streams.
 
 **The budgets** for control on a node: ${
         formatNumber(BUDGET.processorMsPerSecond)
--- a/src/bench/slopes/capacity/roles/owner.ts
+++ b/src/bench/slopes/capacity/roles/owner.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 const GRANT_BYTES = 200;
 const COMPLETION_BYTES = 230;
@@ -11,8 +11,8 @@
 
 /** Describes the owner of a pool's queue. */
 export function describeOwner(slopes: SlopeTable): RoleSection {
-    const ticketsPerSecond = TARGET_SIZE.requestsPerSecond / PER_NODE.queues;
-    const upstreamsPerQueue = TARGET_SIZE.upstreams / PER_NODE.queues;
+    const ticketsPerSecond = TARGET_SIZE.requestsPerSecond / DERIVED_LOAD.queues;
+    const upstreamsPerQueue = TARGET_SIZE.upstreams / DERIVED_LOAD.queues;
     const grantMs = slopes.predictAt("dispatch.grant.processor", upstreamsPerQueue) / 1_000;
     const messagesMs = MESSAGES_PER_TICKET * slopes.mean("wire.call.processor") / 1_000;
     const queueMsPerSecond = ticketsPerSecond * (grantMs + messagesMs);
@@ -20,11 +20,11 @@
         + 3 * ASSUMPTIONS.packetBytes;
     const loanBytesPerSecond = TARGET_SIZE.models * (LOAN_BYTES + ASSUMPTIONS.packetBytes) / LOAN_INTERVAL_S;
     // At most one shard on each node.
-    const shards = Math.floor(TARGET_SIZE.nodes / PER_NODE.queues);
+    const shards = Math.floor(TARGET_SIZE.nodes / DERIVED_LOAD.queues);
     return {
         title: "Pool owner",
         today:
-            `One entry owns the queue of a pool in a region; the others send it tickets and get grants. ${TARGET_SIZE.models} models in ${TARGET_SIZE.regions} regions make ${PER_NODE.queues} queues, ${
+            `One entry owns the queue of a pool in a region; the others send it tickets and get grants. ${TARGET_SIZE.models} models in ${TARGET_SIZE.regions} regions make ${DERIVED_LOAD.queues} queues, ${
                 formatNumber(ticketsPerSecond)
             } tickets a second and ${formatNumber(upstreamsPerQueue)} upstreams each.`,
         rows: [
@@ -53,22 +53,22 @@
                 arithmetic: `${
                     formatNumber(slopes.mean("dispatch.ticket.bytes"))
                 } + ${GRANT_BYTES} + ${COMPLETION_BYTES} B (the last two reckoned) and packets, × ${
-                    formatNumber(PER_NODE.requestsPerSecond)
+                    formatNumber(DERIVED_LOAD.requestsPerSecond)
                 } requests a second of an entry`,
-                value: `${formatBytes(ticketBytes * PER_NODE.requestsPerSecond)}/s`,
-                verdict: formatVerdict(ticketBytes * PER_NODE.requestsPerSecond, BUDGET.bytesPerSecond),
+                value: `${formatBytes(ticketBytes * DERIVED_LOAD.requestsPerSecond)}/s`,
+                verdict: formatVerdict(ticketBytes * DERIVED_LOAD.requestsPerSecond, BUDGET.bytesPerSecond),
             },
         ],
         loads: {
             today: {
-                processorMs: PER_NODE.requestsPerSecond * messagesMs,
-                bytesPerSecond: ticketBytes * PER_NODE.requestsPerSecond,
+                processorMs: DERIVED_LOAD.requestsPerSecond * messagesMs,
+                bytesPerSecond: ticketBytes * DERIVED_LOAD.requestsPerSecond,
             },
             designed: { processorMs: queueMsPerSecond / shards, bytesPerSecond: loanBytesPerSecond },
         },
         designed: [
             `**A queue of the letter breaks the budget on its one owner.** ${NOT_BUILT} A queue splits into ${shards} shards by hash of the workspace, each with its part of the pool's upstreams: ${
-                PER_NODE.queues * shards
+                DERIVED_LOAD.queues * shards
             } shards over ${TARGET_SIZE.nodes} nodes, ${
                 formatNumber(queueMsPerSecond / shards)
             } ms/s each. Order stays exact within a shard; between shards upstreams move by the minute, from the shard with the shortest predicted wait to the one with the longest.`,
--- a/src/bench/slopes/capacity/roles/peers.ts
+++ b/src/bench/slopes/capacity/roles/peers.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 const CONTROL_LINKS = 3;
 const PINGS_PER_SECOND = 2;
@@ -23,7 +23,7 @@
         * (slopes.mean("pulls.idle.bytes") + 2 * DIRECTIONS * ASSUMPTIONS.packetBytes);
     const shortPullBytesPerSecond = PULLS_PER_SECOND * (SHORT_PULL_BYTES + 2 * DIRECTIONS * ASSUMPTIONS.packetBytes);
     const listBytes = slopes.predictAt("pulls.list.bytes", TARGET_SIZE.nodes);
-    const listBytesPerSecond = listBytes * PER_NODE.listChangesPerDay / PER_NODE.secondsPerDay;
+    const listBytesPerSecond = listBytes * DERIVED_LOAD.listChangesPerDay / DERIVED_LOAD.secondsPerDay;
     const slowPingBytesPerSecond = pingBytesPerSecond / PING_SLOWDOWN * (CONTROL_LINKS + TARGET_SIZE.models);
     const pullMsPerSecond = 2 * slopes.mean("wire.call.processor") * PULLS_PER_SECOND / 1_000;
     return {
@@ -72,7 +72,7 @@
                 subject: "the list of entries at each of its changes",
                 arithmetic: `${
                     formatNumber(slopes.perUnit("pulls.list.bytes"))
-                } B × ${TARGET_SIZE.nodes} entries × ${PER_NODE.listChangesPerDay} changes a day`,
+                } B × ${TARGET_SIZE.nodes} entries × ${DERIVED_LOAD.listChangesPerDay} changes a day`,
                 value: `${formatBytes(listBytes)} at once, ${formatBytes(listBytesPerSecond)}/s in the mean`,
                 verdict: formatVerdict(listBytesPerSecond, BUDGET.bytesPerSecond),
             },
--- a/src/bench/slopes/capacity/roles/relay.ts
+++ b/src/bench/slopes/capacity/roles/relay.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 const RELAYS_PER_ZONE = 2;
 
@@ -11,10 +11,10 @@
     const linkMsPerSecond = slopes.perUnit("wire.link.processor") * entriesPerRelay;
     const pullMsPerSecond = slopes.perUnit("pulls.idle.processor") * entriesPerRelay;
     const changeMessageBytes = slopes.mean("view.change.bytes") + ASSUMPTIONS.packetBytes;
-    const changeBytesPerSecond = changeMessageBytes * entriesPerRelay * PER_NODE.changesPerSecond;
+    const changeBytesPerSecond = changeMessageBytes * entriesPerRelay * DERIVED_LOAD.changesPerSecond;
     const startBytesPerSecond = slopes.predictAt("view.full.bytes", TARGET_SIZE.workspaces) * TARGET_SIZE.restartsPerDay
         / TARGET_SIZE.zones / RELAYS_PER_ZONE
-        / PER_NODE.secondsPerDay;
+        / DERIVED_LOAD.secondsPerDay;
     return {
         title: "Zone relay",
         today:
@@ -33,7 +33,7 @@
             {
                 subject: "changes passed on, bytes",
                 arithmetic: `${formatNumber(changeMessageBytes)} B × ${formatNumber(entriesPerRelay)} × ${
-                    formatNumber(PER_NODE.changesPerSecond)
+                    formatNumber(DERIVED_LOAD.changesPerSecond)
                 } a second`,
                 value: `${formatBytes(changeBytesPerSecond)}/s`,
                 verdict: formatVerdict(changeBytesPerSecond, BUDGET.bytesPerSecond),
--- a/src/bench/slopes/capacity/roles/requests.ts
+++ b/src/bench/slopes/capacity/roles/requests.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { RoleSection } from "../_lib/section.js";
-import { PER_NODE } from "../_lib/size.js";
+import { DERIVED_LOAD } from "../_lib/size.js";
 
 const SERIES_COUNT = 1_000;
 
@@ -10,7 +10,7 @@
     const requestMs = slopes.perUnit("entry.request.processor");
     const tokenMs = slopes.perUnit("entry.token.processor");
     const streamBytes = slopes.perUnit("stream.entry.heap") - slopes.perUnit("stream.direct.heap");
-    const totalMsPerSecond = requestMs * PER_NODE.requestsPerSecond + tokenMs * PER_NODE.tokensPerSecond;
+    const totalMsPerSecond = requestMs * DERIVED_LOAD.requestsPerSecond + tokenMs * DERIVED_LOAD.tokensPerSecond;
     return {
         title: "Entry: requests and streams",
         today:
@@ -18,13 +18,15 @@
         rows: [
             {
                 subject: "requests",
-                arithmetic: `${formatNumber(requestMs)} ms × ${formatNumber(PER_NODE.requestsPerSecond)} a second`,
-                value: formatProcessor(requestMs * PER_NODE.requestsPerSecond),
+                arithmetic: `${formatNumber(requestMs)} ms × ${formatNumber(DERIVED_LOAD.requestsPerSecond)} a second`,
+                value: formatProcessor(requestMs * DERIVED_LOAD.requestsPerSecond),
             },
             {
                 subject: "tokens, one an event",
-                arithmetic: `${formatNumber(tokenMs * 1_000)} µs × ${formatNumber(PER_NODE.tokensPerSecond)} a second`,
-                value: formatProcessor(tokenMs * PER_NODE.tokensPerSecond),
+                arithmetic: `${formatNumber(tokenMs * 1_000)} µs × ${
+                    formatNumber(DERIVED_LOAD.tokensPerSecond)
+                } a second`,
+                value: formatProcessor(tokenMs * DERIVED_LOAD.tokensPerSecond),
             },
             {
                 subject: "both",
@@ -34,8 +36,8 @@
             },
             {
                 subject: "open streams, memory",
-                arithmetic: `${formatNumber(streamBytes)} B × ${formatNumber(PER_NODE.openStreams)}`,
-                value: formatBytes(streamBytes * PER_NODE.openStreams),
+                arithmetic: `${formatNumber(streamBytes)} B × ${formatNumber(DERIVED_LOAD.openStreams)}`,
+                value: formatBytes(streamBytes * DERIVED_LOAD.openStreams),
             },
             {
                 subject: "histograms in the process",
--- a/src/bench/slopes/capacity/roles/upstreams.ts
+++ b/src/bench/slopes/capacity/roles/upstreams.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 /** Entries that get each announcement: the owner of the pool's queue and the next owner. */
 const FORWARD_TARGETS = 2;
@@ -12,7 +12,7 @@
 
 /** Describes an entry's work for announcements of upstreams, and the choice of a pool's owner. */
 export function describeUpstreams(slopes: SlopeTable): RoleSection {
-    const announcementsPerSecond = PER_NODE.announcementsPerSecond;
+    const announcementsPerSecond = DERIVED_LOAD.announcementsPerSecond;
     const announcementBytes = slopes.predictAt("announcement.msgpack.bytes", ASSUMPTIONS.cacheEvents)
         + ASSUMPTIONS.packetBytes;
     const forwardedBytesPerSecond = announcementsPerSecond * FORWARD_TARGETS * announcementBytes;
@@ -21,10 +21,10 @@
             + slopes.predictAt("registry.announce", TARGET_SIZE.upstreams))
         / 1_000;
     const chooseMs = slopes.predictAt("owner.choose", TARGET_SIZE.nodes) / 1_000;
-    const choicesPerSecond = PER_NODE.listChangesPerDay / SECONDS_PER_DAY * FORWARD_TARGETS * TARGET_SIZE.models;
-    const choicesPerSecondWithoutTable = PER_NODE.requestsPerSecond + announcementsPerSecond * FORWARD_TARGETS;
+    const choicesPerSecond = DERIVED_LOAD.listChangesPerDay / SECONDS_PER_DAY * FORWARD_TARGETS * TARGET_SIZE.models;
+    const choicesPerSecondWithoutTable = DERIVED_LOAD.requestsPerSecond + announcementsPerSecond * FORWARD_TARGETS;
     const digestBytesPerSecond =
-        (TARGET_SIZE.upstreams / PER_NODE.queues * DIGEST_BYTES_PER_UPSTREAM + ASSUMPTIONS.packetBytes)
+        (TARGET_SIZE.upstreams / DERIVED_LOAD.queues * DIGEST_BYTES_PER_UPSTREAM + ASSUMPTIONS.packetBytes)
         / DIGEST_INTERVAL_S;
     const heapBytes = slopes.predictAt("registry.heap", TARGET_SIZE.upstreams);
     return {
@@ -52,7 +52,7 @@
                 subject: "choosing the owner of a queue",
                 arithmetic: `${
                     formatNumber(slopes.perUnit("owner.choose"))
-                } µs × ${TARGET_SIZE.nodes} hosts, twice for each of ${TARGET_SIZE.models} models at each of ${PER_NODE.listChangesPerDay} changes of the list of hosts a day`,
+                } µs × ${TARGET_SIZE.nodes} hosts, twice for each of ${TARGET_SIZE.models} models at each of ${DERIVED_LOAD.listChangesPerDay} changes of the list of hosts a day`,
                 value: formatProcessor(chooseMs * choicesPerSecond),
                 verdict: formatVerdict(chooseMs * choicesPerSecond, BUDGET.processorMsPerSecond),
             },
@@ -91,7 +91,7 @@
                 Math.round(TARGET_SIZE.nodes / TARGET_SIZE.regions)
             } instead of ${TARGET_SIZE.nodes}.`,
             `**Passing announcements on breaks the budget.** ${NOT_BUILT} The answer to an announcement names the owner of the queue, so that the upstream sends the next ones there and nothing is passed on. The owner gives the next owner a digest in ${DIGEST_INTERVAL_S} s: ${DIGEST_BYTES_PER_UPSTREAM} B for each of ${
-                formatNumber(TARGET_SIZE.upstreams / PER_NODE.queues)
+                formatNumber(TARGET_SIZE.upstreams / DERIVED_LOAD.queues)
             } upstreams, ${
                 formatBytes(digestBytesPerSecond)
             }/s, on owners alone. A new owner then knows the upstreams at once, and their load within half a second.`,
--- a/src/bench/slopes/capacity/roles/usage.ts
+++ b/src/bench/slopes/capacity/roles/usage.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 const KEPT_WINDOWS = 8;
 const COMPACT_LINE_BYTES = 14;
@@ -13,7 +13,7 @@
 /** Describes the usage meter of an entry, and the usage in the replicated state. */
 export function describeUsage(slopes: SlopeTable): RoleSection {
     const batchBytes = slopes.predictAt("usage.batch.bytes", 1);
-    const meterBytesPerSecond = PER_NODE.requestsPerSecond
+    const meterBytesPerSecond = DERIVED_LOAD.requestsPerSecond
         * (2 * batchBytes + RELEASE_BYTES + 5 * ASSUMPTIONS.packetBytes);
     const messageMs = slopes.mean("wire.call.processor") / 1_000;
     const applyMs = slopes.meanAtSmallestSize("usage.batch.apply") / 1_000;
@@ -25,8 +25,8 @@
     const batchesPerSecond = TARGET_SIZE.nodes / BATCH_INTERVAL_S;
     const compactMsPerSecond = batchesPerSecond * logEntryMs
         + TARGET_SIZE.requestsPerSecond * slopes.perUnit("usage.batch.apply") / 1_000;
-    const compactBytesPerSecond = PER_NODE.requestsPerSecond * (COMPACT_LINE_BYTES + ASSUMPTIONS.packetBytes)
-        + PER_NODE.requestsPerSecond * COMPACT_LINE_BYTES;
+    const compactBytesPerSecond = DERIVED_LOAD.requestsPerSecond * (COMPACT_LINE_BYTES + ASSUMPTIONS.packetBytes)
+        + DERIVED_LOAD.requestsPerSecond * COMPACT_LINE_BYTES;
     return {
         title: "Usage: meters of entries, windows of voters",
         today:
@@ -34,7 +34,7 @@
         rows: [
             {
                 subject: "an entry's batches, bytes",
-                arithmetic: `${formatNumber(PER_NODE.requestsPerSecond)} a second, ${
+                arithmetic: `${formatNumber(DERIVED_LOAD.requestsPerSecond)} a second, ${
                     formatNumber(batchBytes)
                 } B to the peer and to the holder, a release, packets`,
                 value: `${formatBytes(meterBytesPerSecond)}/s`,
@@ -68,10 +68,13 @@
         ],
         loads: {
             today: {
-                processorMs: PER_NODE.requestsPerSecond * MESSAGES_PER_REQUEST * messageMs,
+                processorMs: DERIVED_LOAD.requestsPerSecond * MESSAGES_PER_REQUEST * messageMs,
                 bytesPerSecond: meterBytesPerSecond,
             },
-            designed: { processorMs: PER_NODE.requestsPerSecond * messageMs, bytesPerSecond: compactBytesPerSecond },
+            designed: {
+                processorMs: DERIVED_LOAD.requestsPerSecond * messageMs,
+                bytesPerSecond: compactBytesPerSecond,
+            },
         },
         designed: [
             `**Batches break both budgets.** ${NOT_BUILT} A line between hosts is numbers (workspace, pool, class, three counts: ${COMPACT_LINE_BYTES} B). The peer still gets one for each request before its last event; the log gets one batch in ${BATCH_INTERVAL_S} s from each entry: ${
--- a/src/bench/slopes/capacity/roles/view.ts
+++ b/src/bench/slopes/capacity/roles/view.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 /** Describes an entry's view of the configuration. */
 export function describeView(slopes: SlopeTable): RoleSection {
@@ -10,8 +10,9 @@
     const fullViewBytes = slopes.predictAt("view.full.bytes", TARGET_SIZE.workspaces);
     const applyMs = slopes.predictAt("view.full.apply", TARGET_SIZE.workspaces);
     const changeMessageBytes = slopes.mean("view.change.bytes") + ASSUMPTIONS.packetBytes;
-    const changeBytesPerSecond = PER_NODE.changesPerSecond * changeMessageBytes;
-    const startBytesPerSecond = fullViewBytes * TARGET_SIZE.restartsPerDay / TARGET_SIZE.nodes / PER_NODE.secondsPerDay;
+    const changeBytesPerSecond = DERIVED_LOAD.changesPerSecond * changeMessageBytes;
+    const startBytesPerSecond = fullViewBytes * TARGET_SIZE.restartsPerDay / TARGET_SIZE.nodes
+        / DERIVED_LOAD.secondsPerDay;
     return {
         title: "Entry: its view of the configuration",
         today:
@@ -34,14 +35,14 @@
             {
                 subject: "look-up of a key",
                 arithmetic: `${formatNumber(slopes.mean("view.find"))} µs × ${
-                    formatNumber(PER_NODE.requestsPerSecond)
+                    formatNumber(DERIVED_LOAD.requestsPerSecond)
                 } requests a second`,
-                value: formatProcessor(slopes.mean("view.find") * PER_NODE.requestsPerSecond / 1_000),
+                value: formatProcessor(slopes.mean("view.find") * DERIVED_LOAD.requestsPerSecond / 1_000),
             },
             {
                 subject: "changes, bytes",
                 arithmetic: `${formatNumber(changeMessageBytes)} B × ${
-                    formatNumber(PER_NODE.changesPerSecond)
+                    formatNumber(DERIVED_LOAD.changesPerSecond)
                 } a second; ${ASSUMPTIONS.changePeak} times that in a burst`,
                 value: `${formatBytes(changeBytesPerSecond)}/s; ${
                     formatBytes(changeBytesPerSecond * ASSUMPTIONS.changePeak)
@@ -53,9 +54,9 @@
                 arithmetic: `${
                     formatNumber(slopes.mean("view.change.apply"))
                 } µs each, whatever the number of workspaces`,
-                value: formatProcessor(slopes.mean("view.change.apply") * PER_NODE.changesPerSecond / 1_000),
+                value: formatProcessor(slopes.mean("view.change.apply") * DERIVED_LOAD.changesPerSecond / 1_000),
                 verdict: formatVerdict(
-                    slopes.mean("view.change.apply") * PER_NODE.changesPerSecond / 1_000,
+                    slopes.mean("view.change.apply") * DERIVED_LOAD.changesPerSecond / 1_000,
                     BUDGET.processorMsPerSecond,
                 ),
             },
@@ -78,11 +79,11 @@
         ],
         loads: {
             today: {
-                processorMs: slopes.mean("view.change.apply") * PER_NODE.changesPerSecond / 1_000,
+                processorMs: slopes.mean("view.change.apply") * DERIVED_LOAD.changesPerSecond / 1_000,
                 bytesPerSecond: changeBytesPerSecond + startBytesPerSecond,
             },
             designed: {
-                processorMs: slopes.mean("view.change.apply") * PER_NODE.changesPerSecond / 1_000,
+                processorMs: slopes.mean("view.change.apply") * DERIVED_LOAD.changesPerSecond / 1_000,
                 bytesPerSecond: changeBytesPerSecond + startBytesPerSecond,
             },
         },
--- a/src/bench/slopes/capacity/roles/voter.ts
+++ b/src/bench/slopes/capacity/roles/voter.ts
@@ -1,7 +1,7 @@
 import { SlopeTable } from "../../slopeTable/index.js";
 import { formatBytes, formatNumber, formatProcessor } from "../_lib/format.js";
 import { formatVerdict, NOT_BUILT, RoleSection } from "../_lib/section.js";
-import { ASSUMPTIONS, BUDGET, PER_NODE, TARGET_SIZE } from "../_lib/size.js";
+import { ASSUMPTIONS, BUDGET, DERIVED_LOAD, TARGET_SIZE } from "../_lib/size.js";
 
 const SNAPSHOT_ENTRIES = 20_000;
 const VOTER_GROUPS = 3;
@@ -75,10 +75,10 @@
             {
                 subject: "a change to all entries",
                 arithmetic: `${formatNumber(slopes.perUnit("pulls.change.processor"))} ms × ${TARGET_SIZE.nodes}, ${
-                    formatNumber(PER_NODE.changesPerSecond)
+                    formatNumber(DERIVED_LOAD.changesPerSecond)
                 } a second, ${ASSUMPTIONS.changePeak} times that in a burst`,
-                value: `${formatNumber(changeMs)} ms; ${formatProcessor(changeMs * PER_NODE.changesPerSecond)}, ${
-                    formatProcessor(changeMs * PER_NODE.changesPerSecond * ASSUMPTIONS.changePeak)
+                value: `${formatNumber(changeMs)} ms; ${formatProcessor(changeMs * DERIVED_LOAD.changesPerSecond)}, ${
+                    formatProcessor(changeMs * DERIVED_LOAD.changesPerSecond * ASSUMPTIONS.changePeak)
                 }`,
             },
             {
--- a/src/bench/slopes/measures/index.ts
+++ b/src/bench/slopes/measures/index.ts
@@ -45,7 +45,7 @@
 /** Built value and the memory that it occupies. */
 export interface BuiltValue<Value> {
     readonly value: Value;
-    /** On the heap and in buffers, in bytes. */
+    /** Memory on the heap and in buffers, in bytes. */
     readonly bytes: number;
 }
 
@@ -54,10 +54,10 @@
 
 /** Builds a value and measures the heap memory that it occupies. The value is retained until the process ends. */
 export function measureHeap<Value>(build: () => Value): BuiltValue<Value> {
-    const usageBefore = heapBytes();
+    const bytesBefore = heapBytes();
     const value = build();
     retainedValues.push(value);
-    return { value, bytes: heapBytes() - usageBefore };
+    return { value, bytes: heapBytes() - bytesBefore };
 }
 
 /**
