--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -1,10 +1,10 @@
 import { SeededRandom } from "../../ports/index.js";
 import { makeDocument, makeRoute } from "../../routing/index.js";
-import { InvariantError } from "../recorder/index.js";
+import { InvariantError } from "../recordingStateMachine/index.js";
 import { RoutedFleet } from "../routedFleet/index.js";
 import { TestReply } from "../testCaller/index.js";
 
-/** What one run came to. */
+/** Result of one run. */
 export interface CallScheduleReport {
     readonly seed: number;
     readonly calls: number;
@@ -13,90 +13,96 @@
     readonly virtualMs: number;
 }
 
-const KEY = "butcher-key";
-const CRASHING = "a prompt that no upstream survives";
-const POPULAR = "what is open today";
-const CONTROLS = 5;
-const ENTRIES = 4;
-const UPSTREAMS = 8;
-/** So many control processes may be down, or cut off, at a time: the others are a majority. */
-const MOST_CONTROLS_LOST = 2;
-const STEPS = 12;
-const CALL_EVERY_MS = 60;
-/** The crashing request comes with each so manieth call. */
-const CRASHING_EVERY = 12;
-const POPULAR_EVERY = 5;
-/** How long nothing fails at the end; hosts have heard of each other again after its first part. */
-const CALM_MS = 16_000;
-const CONTACT_MS = 3_000;
-/** In the calm the crashing request comes often enough to be quarantined, were nothing known of it. */
-const LEARNING_MS = 6_000;
-const LIMIT_PER_SECOND = 1.5;
-const LIMIT_SPAN_MS = 4_000;
-/** What an upstream bears within that span beyond its limit: half as much again, and a few more. */
-const LIMIT_OVERAGE = 1.5;
-const LIMIT_SLACK = 5;
+const CALLER_KEY = "butcher-key";
+const CRASHING_BODY = "a prompt that no upstream survives";
+const POPULAR_BODY = "what is open today";
+const CONTROL_COUNT = 5;
+const ENTRY_COUNT = 4;
+const UPSTREAM_COUNT = 8;
+/** Maximum number of control processes that are down or isolated concurrently, so that the others are a majority. */
+const MAX_CONTROLS_LOST = 2;
+const FAULT_COUNT = 12;
+/** Calls are sent at random intervals of up to twice this time. */
+const MEAN_CALL_INTERVAL_MS = 60;
+/** Every nth call carries the crashing request body. */
+const CALLS_PER_CRASHING_BODY = 12;
+const CALLS_PER_POPULAR_BODY = 5;
+/** Duration of the fault-free phase at the end of a run. Hosts are connected again after its first `RECONNECT_MS`. */
+const FAULT_FREE_MS = 16_000;
+const RECONNECT_MS = 3_000;
+/** Time in which the calls of the fault-free phase get the crashing request quarantined even if no earlier crash is known. */
+const QUARANTINE_DETECTION_MS = 6_000;
+const LIMIT_REQUESTS_PER_S = 1.5;
+const LIMIT_CHECK_SPAN_MS = 4_000;
+/** Tolerance over the limit within `LIMIT_CHECK_SPAN_MS`: half as much again, and a few requests more. */
+const LIMIT_TOLERANCE_FACTOR = 1.5;
+const LIMIT_TOLERANCE_REQUESTS = 5;
 
+/** A call of the run and its reply. */
 interface SentCall {
+    /** The request id. */
     readonly request: string;
     readonly body: string;
     readonly sentAt: number;
     readonly reply: Promise<TestReply>;
 }
 
-interface Run {
+/** State that the faults and checks of one run share. */
+interface CallScheduleRun {
     readonly fleet: RoutedFleet;
     readonly random: SeededRandom;
     readonly sent: SentCall[];
+    /** Numbers of the control processes that are isolated. */
     readonly cut: Set<number>;
-    limited: number;
+    /** Index of the upstream that advertises a request limit. */
+    limitedUpstream: number;
 }
 
-type Fault = (run: Run) => Promise<void>;
+type Fault = (run: CallScheduleRun) => Promise<void>;
 
-/** The weight is how often a fault stands in the draw. */
+/** The weight is the number of times that a fault is entered in the list from which faults are drawn. */
 const FAULTS: readonly (readonly [weight: number, fault: Fault])[] = [
     [4, killControl],
     [5, restartControls],
     [3, killEntry],
     [4, restartEntries],
     [3, cutControl],
-    [3, healControls],
-    [1, loseAllPower],
+    [3, reconnectControls],
+    [1, powerCycleAll],
     [3, crashUpstream],
-    [3, moveLimit],
+    [3, moveRequestLimit],
 ];
-const DRAW = FAULTS.flatMap(([weight, fault]) => Array.from({ length: weight }, () => fault));
+const WEIGHTED_FAULTS = FAULTS.flatMap(([weight, fault]) => Array.from({ length: weight }, () => fault));
 
 /**
- * Runs one random schedule of faults against a fleet under calls, some of which crash what runs them, while one upstream names a limit. Ends
- * with a calm, and checks what callers and upstreams saw.
+ * Runs one random schedule of faults against a fleet under load. Some calls crash the upstream that runs them, and one upstream
+ * advertises a request limit. Ends with a fault-free phase, then checks the replies to callers and the requests that upstreams ran.
  *
- * @param seed - Gives the same run each time.
- * @throws InvariantError when a promise is broken.
+ * @param seed - Determines the whole run.
+ * @throws InvariantError when an invariant is violated.
  * @example
  * const report = await runCallSchedule(42);
  */
 export async function runCallSchedule(seed: number): Promise<CallScheduleReport> {
     const random = new SeededRandom(seed);
-    const upstream = { slots: 24, workMs: 80, crashesOn: CRASHING, restartMs: 2_500 };
-    const upstreams = Array.from({ length: UPSTREAMS }, () => upstream);
-    const fleet = new RoutedFleet({ seed, controls: CONTROLS, entries: ENTRIES, upstreams, queueHosts: true });
-    const run: Run = { fleet, random, sent: [], cut: new Set(), limited: 0 };
+    const upstreamOptions = { slots: 24, workMs: 80, crashesOn: CRASHING_BODY, restartMs: 2_500 };
+    const upstreams = Array.from({ length: UPSTREAM_COUNT }, () => upstreamOptions);
+    const fleet = new RoutedFleet({ seed, controls: CONTROL_COUNT, entries: ENTRY_COUNT, upstreams, queueHosts: true });
+    const run: CallScheduleRun = { fleet, random, sent: [], cut: new Set(), limitedUpstream: 0 };
     await fleet.start(makeDocument({ routes: [makeRoute({ kind: "once", attempts: 1, timeoutMs: 4_000 })] }));
-    await moveLimit(run);
-    for (let step = 0; step < STEPS; step++) {
-        await random.pick(DRAW)(run);
-        await passUnderCalls(run, random.between(300, 2_500));
+    await moveRequestLimit(run);
+    for (let step = 0; step < FAULT_COUNT; step++) {
+        await random.pick(WEIGHTED_FAULTS)(run);
+        await advanceUnderCalls(run, random.between(300, 2_500));
     }
     await endFaults(run);
-    const calmSince = fleet.clock.monotonic();
-    await passUnderCalls(run, CALM_MS);
+    const faultFreeSince = fleet.clock.monotonic();
+    await advanceUnderCalls(run, FAULT_FREE_MS);
     const replies = await fleet.run(Promise.all(run.sent.map(({ reply }) => reply)));
-    checkRuns(run, replies);
-    checkCrashing(run, calmSince);
-    checkLimit(run, calmSince);
-    checkOthers(run, replies, calmSince);
+    checkAtMostOnce(run, replies);
+    checkQuarantine(run, faultFreeSince);
+    checkRequestLimit(run, faultFreeSince);
+    checkOtherRequestsServed(run, replies, faultFreeSince);
     await fleet.close();
     return {
         seed,
@@ -107,109 +113,109 @@
     };
 }
 
-async function passUnderCalls(run: Run, ms: number): Promise<void> {
+async function advanceUnderCalls(run: CallScheduleRun, ms: number): Promise<void> {
     const { fleet, random } = run;
     const end = fleet.clock.monotonic() + ms;
     while (fleet.clock.monotonic() < end) {
-        const live = listNumbers(ENTRIES).filter(number => fleet.entries[number]);
-        if (live.length > 0) sendCall(run, random.pick(live));
-        await fleet.pass(random.between(1, 2 * CALL_EVERY_MS));
+        const liveEntries = range(ENTRY_COUNT).filter(number => fleet.entries[number]);
+        if (liveEntries.length > 0) sendCall(run, random.pick(liveEntries));
+        await fleet.pass(random.between(1, 2 * MEAN_CALL_INTERVAL_MS));
     }
 }
 
-function sendCall({ fleet, sent }: Run, entry: number): void {
+function sendCall({ fleet, sent }: CallScheduleRun, entry: number): void {
     const request = `call-${sent.length}`;
-    const body = bodyOf(sent.length);
-    const reply = fleet.startCall({ entry, path: "/orders/1", key: KEY, request, body });
+    const body = buildBody(sent.length);
+    const reply = fleet.startCall({ entry, path: "/orders/1", key: CALLER_KEY, request, body });
     sent.push({ request, body, sentAt: fleet.clock.monotonic(), reply });
 }
 
-function bodyOf(number: number): string {
-    if (number % CRASHING_EVERY === 0) return CRASHING;
-    return number % POPULAR_EVERY === 0 ? POPULAR : `order ${number}`;
+function buildBody(number: number): string {
+    if (number % CALLS_PER_CRASHING_BODY === 0) return CRASHING_BODY;
+    return number % CALLS_PER_POPULAR_BODY === 0 ? POPULAR_BODY : `order ${number}`;
 }
 
-function listNumbers(count: number): number[] {
+function range(count: number): number[] {
     return Array.from({ length: count }, (_, number) => number);
 }
 
-function countLost({ fleet, cut }: Run): number {
-    return listNumbers(CONTROLS).filter(number => !fleet.controls[number] || cut.has(number)).length;
+function countUnavailableControls({ fleet, cut }: CallScheduleRun): number {
+    return range(CONTROL_COUNT).filter(number => !fleet.controls[number] || cut.has(number)).length;
 }
 
-async function killControl(run: Run): Promise<void> {
+async function killControl(run: CallScheduleRun): Promise<void> {
     const { fleet, random } = run;
-    const up = listNumbers(CONTROLS).filter(number => fleet.controls[number]);
-    if (countLost(run) >= MOST_CONTROLS_LOST) return;
+    const up = range(CONTROL_COUNT).filter(number => fleet.controls[number]);
+    if (countUnavailableControls(run) >= MAX_CONTROLS_LOST) return;
     const holder = fleet.holder();
     await fleet.run(fleet.killControl(holder >= 0 && random.next() < 0.5 ? holder : random.pick(up)));
 }
 
-async function restartControls({ fleet }: Run): Promise<void> {
-    for (const number of listNumbers(CONTROLS)) {
+async function restartControls({ fleet }: CallScheduleRun): Promise<void> {
+    for (const number of range(CONTROL_COUNT)) {
         if (!fleet.controls[number]) await fleet.run(fleet.startControl(number));
     }
 }
 
-async function killEntry({ fleet, random }: Run): Promise<void> {
-    const up = listNumbers(ENTRIES).filter(number => fleet.entries[number]);
+async function killEntry({ fleet, random }: CallScheduleRun): Promise<void> {
+    const up = range(ENTRY_COUNT).filter(number => fleet.entries[number]);
     if (up.length > 1) await fleet.run(fleet.killEntry(random.pick(up)));
 }
 
-async function restartEntries({ fleet }: Run): Promise<void> {
-    for (const number of listNumbers(ENTRIES)) {
+async function restartEntries({ fleet }: CallScheduleRun): Promise<void> {
+    for (const number of range(ENTRY_COUNT)) {
         if (!fleet.entries[number]) await fleet.run(fleet.startEntry(number));
     }
 }
 
-async function cutControl(run: Run): Promise<void> {
+async function cutControl(run: CallScheduleRun): Promise<void> {
     const { fleet, random, cut } = run;
-    const up = listNumbers(CONTROLS).filter(number => fleet.controls[number] && !cut.has(number));
-    if (countLost(run) >= MOST_CONTROLS_LOST) return;
+    const up = range(CONTROL_COUNT).filter(number => fleet.controls[number] && !cut.has(number));
+    if (countUnavailableControls(run) >= MAX_CONTROLS_LOST) return;
     const number = random.pick(up);
     cut.add(number);
     fleet.cutControl(number, true);
 }
 
-async function healControls({ fleet, cut }: Run): Promise<void> {
+async function reconnectControls({ fleet, cut }: CallScheduleRun): Promise<void> {
     for (const number of cut) fleet.cutControl(number, false);
     cut.clear();
 }
 
-async function loseAllPower(run: Run): Promise<void> {
+async function powerCycleAll(run: CallScheduleRun): Promise<void> {
     const { fleet } = run;
-    for (const number of listNumbers(CONTROLS)) {
+    for (const number of range(CONTROL_COUNT)) {
         if (fleet.controls[number]) await fleet.run(fleet.killControl(number));
     }
-    for (const number of listNumbers(ENTRIES)) {
+    for (const number of range(ENTRY_COUNT)) {
         if (fleet.entries[number]) await fleet.run(fleet.killEntry(number));
     }
-    await healControls(run);
+    await reconnectControls(run);
     await restartControls(run);
     await restartEntries(run);
 }
 
-async function crashUpstream({ fleet, random }: Run): Promise<void> {
+async function crashUpstream({ fleet, random }: CallScheduleRun): Promise<void> {
     const up = fleet.upstreams.filter(({ isUp }) => isUp);
-    if (up.length > UPSTREAMS / 2) await fleet.run(random.pick(up).crash());
+    if (up.length > UPSTREAM_COUNT / 2) await fleet.run(random.pick(up).crash());
 }
 
-/** Ends the limit that one upstream names, and lets another one name it. */
-async function moveLimit(run: Run): Promise<void> {
+/** Ends the request limit that one upstream advertises, and lets a randomly picked one advertise it. */
+async function moveRequestLimit(run: CallScheduleRun): Promise<void> {
     const { fleet, random } = run;
-    fleet.upstreams[run.limited].nameLimit(undefined);
-    run.limited = random.integer(0, UPSTREAMS);
-    fleet.upstreams[run.limited].nameLimit(LIMIT_PER_SECOND);
+    fleet.upstreams[run.limitedUpstream].nameLimit(undefined);
+    run.limitedUpstream = random.integer(0, UPSTREAM_COUNT);
+    fleet.upstreams[run.limitedUpstream].nameLimit(LIMIT_REQUESTS_PER_S);
 }
 
-async function endFaults(run: Run): Promise<void> {
-    await healControls(run);
+async function endFaults(run: CallScheduleRun): Promise<void> {
+    await reconnectControls(run);
     await restartControls(run);
     await restartEntries(run);
 }
 
-/** A call that may run once runs once at most, and not at all where its caller was promised so. */
-function checkRuns({ fleet, sent }: Run, replies: readonly TestReply[]): void {
+/** Checks that each call ran at most once, and not at all when it was answered with 503 (not run). */
+function checkAtMostOnce({ fleet, sent }: CallScheduleRun, replies: readonly TestReply[]): void {
     const counts = new Map<string, number>();
     for (const { request } of fleet.upstreams.flatMap(({ runs }) => runs)) {
         counts.set(request, (counts.get(request) ?? 0) + 1);
@@ -218,36 +224,43 @@
         const runs = counts.get(request) ?? 0;
         const { status } = replies[at];
         if (runs > 1) throw new InvariantError(`${request} ran ${runs} times`);
-        if (status === 503 && runs > 0) throw new InvariantError(`${request} was refused as not run, and ran`);
+        if (status === 503 && runs > 0) throw new InvariantError(`${request} was refused as not run, but ran`);
     });
 }
 
-/** Once hosts have heard of each other again and it has come a few times more, the crashing request reaches no upstream. */
-function checkCrashing({ fleet }: Run, calmSince: number): void {
-    const knownAt = calmSince + CONTACT_MS + LEARNING_MS;
+/** Checks that the crashing request reaches no upstream once hosts are connected again and have received it a few times more. */
+function checkQuarantine({ fleet }: CallScheduleRun, faultFreeSince: number): void {
+    const quarantinedBy = faultFreeSince + RECONNECT_MS + QUARANTINE_DETECTION_MS;
     const late = fleet.upstreams.flatMap(({ runs }) => runs).filter(({ body, at }) =>
-        body === CRASHING && at > knownAt
+        body === CRASHING_BODY && at > quarantinedBy
     );
-    if (late.length > 0) throw new InvariantError(`the crashing request was run ${late.length} times in the calm`);
+    if (late.length > 0) throw new InvariantError(`the crashing request ran ${late.length} times without faults`);
 }
 
-/** Once hosts have heard of each other again, the limited upstream gets no more than it bears. */
-function checkLimit({ fleet, limited }: Run, calmSince: number): void {
-    const times = fleet.upstreams[limited].runs.map(({ at }) => at).filter(at => at > calmSince + CONTACT_MS);
-    const most = LIMIT_OVERAGE * LIMIT_PER_SECOND * LIMIT_SPAN_MS / 1_000 + LIMIT_SLACK;
+/** Checks that the limited upstream receives no more than its limit plus the tolerance once hosts are connected again. */
+function checkRequestLimit({ fleet, limitedUpstream }: CallScheduleRun, faultFreeSince: number): void {
+    const times = fleet.upstreams[limitedUpstream].runs.map(({ at }) => at).filter(at =>
+        at > faultFreeSince + RECONNECT_MS
+    );
+    const maxRequests = LIMIT_TOLERANCE_FACTOR * LIMIT_REQUESTS_PER_S * LIMIT_CHECK_SPAN_MS / 1_000
+        + LIMIT_TOLERANCE_REQUESTS;
     for (const first of times) {
-        const count = times.filter(at => at >= first && at < first + LIMIT_SPAN_MS).length;
-        if (count > most) throw new InvariantError(`the limited upstream got ${count} in 4 s, ${most} are borne`);
+        const count = times.filter(at => at >= first && at < first + LIMIT_CHECK_SPAN_MS).length;
+        if (count > maxRequests) throw new InvariantError(`limited upstream: ${count} in 4 s, max ${maxRequests}`);
     }
 }
 
-/** Other requests are served in the calm: none passes for the one that crashes. */
-function checkOthers({ sent }: Run, replies: readonly TestReply[], calmSince: number): void {
+/** Checks that other requests are served in the fault-free phase, and that none is taken for the crashing one. */
+function checkOtherRequestsServed(
+    { sent }: CallScheduleRun,
+    replies: readonly TestReply[],
+    faultFreeSince: number,
+): void {
     sent.forEach(({ request, body, sentAt }, at) => {
         const { body: text, status } = replies[at];
-        if (body === CRASHING) return;
+        if (body === CRASHING_BODY) return;
         if (text.includes("quarantined")) throw new InvariantError(`${request}, "${body}", was quarantined`);
-        const isServed = status === 200 || sentAt < calmSince + CONTACT_MS + LEARNING_MS;
-        if (!isServed) throw new InvariantError(`${request} got ${status} in the calm`);
+        const isServed = status === 200 || sentAt < faultFreeSince + RECONNECT_MS + QUARANTINE_DETECTION_MS;
+        if (!isServed) throw new InvariantError(`${request} was answered with ${status} in the fault-free phase`);
     });
 }
--- a/src/faultInjection/index.ts
+++ b/src/faultInjection/index.ts
@@ -1,4 +1,4 @@
-/** Parts of the system in one process, over the ports in memory, with faults by seed or by hand. */
+/** Simulated fleets of real processes over in-memory ports, with faults drawn from a seed or injected by a test. */
 export * from "./callSchedule/index.js";
 export * from "./replicaFleet/index.js";
 export * from "./routedFleet/index.js";
--- a/src/faultInjection/recorder/index.ts
+++ b/src/faultInjection/recordingStateMachine/index.ts
@@ -1,20 +1,24 @@
 import { ApplyContext, StateMachine } from "../../consensus/index.js";
 import { LogIndex } from "../../ids/index.js";
 
-/** A promise of the control log that a run broke. */
+/** A violation of one of the system's guarantees, found during a simulated run. */
 export class InvariantError extends Error {}
 
-/** The command that each index holds, as first applied anywhere. */
-export class History {
+/** The command at each log index, as first applied by any replica. */
+export class AppliedHistory {
     private readonly commands = new Map<LogIndex, string>();
     private readonly indexes = new Map<string, LogIndex>();
 
-    /** Compares an applied command with what others applied at the same index, and with where it was applied before. */
-    check(index: LogIndex, command: string): void {
+    /**
+     * Records an applied command.
+     *
+     * @throws InvariantError when another command was applied at this index, or the same command at another index.
+     */
+    recordApplied(index: LogIndex, command: string): void {
         const known = this.commands.get(index) ?? command;
         if (known !== command) throw new InvariantError(`index ${index} holds ${known} and ${command}`);
-        const place = this.indexes.get(command) ?? index;
-        if (place !== index) throw new InvariantError(`${command} is applied at ${place} and ${index}`);
+        const knownIndex = this.indexes.get(command) ?? index;
+        if (knownIndex !== index) throw new InvariantError(`${command} is applied at ${knownIndex} and ${index}`);
         this.commands.set(index, command);
         this.indexes.set(command, index);
     }
@@ -24,17 +28,17 @@
     }
 }
 
-type Applied = readonly [index: LogIndex, command: string];
+type AppliedCommand = readonly [index: LogIndex, command: string];
 
-/** Keeps every command applied, and checks it against all other replicas. */
-export class Recorder extends StateMachine {
-    private applied: Applied[] = [];
+/** State machine that keeps all applied commands and checks them against those of the other replicas. */
+export class RecordingStateMachine extends StateMachine {
+    private applied: AppliedCommand[] = [];
 
     /**
      * @param history - Shared by all replicas of a run.
-     * @param onError - Told of a broken invariant; the log itself must not be disturbed by the check.
+     * @param onError - Called with each violation; a check must not throw into the log that applies the command.
      */
-    constructor(private readonly history: History, private readonly onError: (err: unknown) => void) {
+    constructor(private readonly history: AppliedHistory, private readonly onError: (err: unknown) => void) {
         super();
     }
 
@@ -43,10 +47,10 @@
     }
 
     apply(command: unknown, { index }: ApplyContext): unknown {
-        this.guard(() => {
+        this.runCheck(() => {
             const last = this.applied.at(-1)?.[0] ?? 0;
             if (index <= last) throw new InvariantError(`index ${index} is applied after ${last}`);
-            this.history.check(index, command as string);
+            this.history.recordApplied(index, command as string);
         });
         this.applied.push([index, command as string]);
         return index;
@@ -57,15 +61,15 @@
     }
 
     restore(snapshot: unknown): void {
-        const restored = snapshot as Applied[];
-        this.guard(() => {
-            if (restored.length < this.applied.length) throw new InvariantError("a snapshot took the state back");
-            for (const [index, command] of restored) this.history.check(index, command);
+        const restored = snapshot as AppliedCommand[];
+        this.runCheck(() => {
+            if (restored.length < this.applied.length) throw new InvariantError("a snapshot restored an older state");
+            for (const [index, command] of restored) this.history.recordApplied(index, command);
         });
         this.applied = [...restored];
     }
 
-    private guard(check: () => void): void {
+    private runCheck(check: () => void): void {
         try {
             check();
         }
--- a/src/faultInjection/replicaFleet/index.ts
+++ b/src/faultInjection/replicaFleet/index.ts
@@ -11,39 +11,41 @@
     VirtualClock,
 } from "../../ports/index.js";
 import { DEFAULT_PEER_TIMING, PeerRouter, servePeers } from "../../wire/index.js";
-import { History, InvariantError, Recorder } from "../recorder/index.js";
+import { AppliedHistory, InvariantError, RecordingStateMachine } from "../recordingStateMachine/index.js";
 
 const PORT = 7000;
-/** Small, so that a short run rolls segments and sends snapshots. */
+/** Log timing with small segments and snapshot intervals, so that a short run rolls segments and sends snapshots. */
 export const FLEET_TIMING: LogTiming = {
     ...DEFAULT_LOG_TIMING,
     snapshotEntries: 40,
     trailingEntries: 5,
     segmentBytes: 1_000,
 };
-/** Below the drift that the lease allows for. */
-const MOST_DRIFT = 0.009;
-/** How long a fleet without faults may take to recover. */
-const SETTLE_MS = 120_000;
-const LOOK_MS = 20;
+/** Maximum deviation of a host's clock rate from 1, below the drift that the lease tolerates. */
+const MAX_CLOCK_DRIFT = 0.009;
+/** Maximum time in which a fleet without faults must recover. */
+const RECOVERY_TIMEOUT_MS = 120_000;
+const CHECK_INTERVAL_MS = 20;
 
-/** One host: its disk lasts, its processes come and go. */
+/** One simulated host. Its disk survives its processes. */
 export interface FleetHost {
     readonly name: HostId;
     readonly disk: MemoryDisk;
+    /** Rate of the host's clock relative to virtual time. */
     readonly clockRate: number;
+    /** The running control process; undefined while it is down. */
     process: FleetProcess | undefined;
 }
 
-/** One run of the control process. */
+/** One run of a host's control process, from start to crash. */
 export interface FleetProcess {
     readonly host: MemoryHost;
     readonly log: ReplicatedLog;
-    readonly recorder: Recorder;
+    readonly recorder: RecordingStateMachine;
 }
 
 /**
- * Hosts with a replica each, under virtual time. Looks at the invariants while time passes.
+ * Simulated hosts with one replica of the control log each, under virtual time. Checks the log's invariants while time advances.
  *
  * @example
  * const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
@@ -53,24 +55,30 @@
     readonly clock = new VirtualClock();
     readonly fabric: MemoryFabric;
     readonly hosts = new Map<string, FleetHost>();
+    /** Commands whose proposal succeeded. */
     readonly acked = new Set<string>();
-    private readonly history = new History();
-    private readonly tokens = new Map<number, string>();
-    private readonly founders: readonly BootstrapMember[];
-    private readonly appliedSeen = new Map<FleetProcess, number>();
+    private readonly history = new AppliedHistory();
+    /** Host that held the lease, by fencing token. */
+    private readonly holderByToken = new Map<number, string>();
+    private readonly bootstrapMembers: readonly BootstrapMember[];
+    /** Highest index that each process has applied so far. */
+    private readonly lastApplied = new Map<FleetProcess, number>();
     /** One-way latency, in milliseconds; a test may replace it. */
     latency: LatencyBetween = () => Math.round(this.random.between(1, 4));
-    private lastAcked = 0 as LogIndex;
-    private broken: unknown;
-    private nextCommand = 1;
+    /** Highest log index of an accepted command. */
+    private acceptedIndex = 0 as LogIndex;
+    /** The first violation found; thrown by the next `checkInvariants`. */
+    private violation: unknown;
+    private nextCommandNumber = 1;
 
-    constructor(readonly random: Random, founders: readonly string[], private readonly timing = FLEET_TIMING) {
+    constructor(readonly random: Random, bootstrapHosts: readonly string[], private readonly timing = FLEET_TIMING) {
         this.fabric = new MemoryFabric(this.clock, (from, to) => this.latency(from, to));
-        this.founders = founders.map(name => ({ host: name as HostId, address: addressOf(name) }));
-        for (const name of founders) this.addHost(name);
+        this.bootstrapMembers = bootstrapHosts.map(name => ({ host: name as HostId, address: addressOf(name) }));
+        for (const name of bootstrapHosts) this.addHost(name);
     }
 
-    addHost(name: string, clockRate = 1 + this.random.between(-MOST_DRIFT, MOST_DRIFT)): FleetHost {
+    /** Adds a host with an empty disk and no running process. */
+    addHost(name: string, clockRate = 1 + this.random.between(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)): FleetHost {
         const host = { name: name as HostId, disk: new MemoryDisk(this.clock), clockRate, process: undefined };
         this.hosts.set(name, host);
         return host;
@@ -84,11 +92,11 @@
     async start(name: string, port = PORT): Promise<void> {
         const { disk, clockRate } = this.find(name);
         const host = new MemoryHost({ clock: this.clock, network: this.fabric.network(name), disk, clockRate });
-        const recorder = new Recorder(this.history, err => this.noteBroken(err));
+        const recorder = new RecordingStateMachine(this.history, err => this.recordViolation(err));
         const router = new PeerRouter();
         const self = { host: name as HostId, incarnation: String(this.clock.monotonic()) as Incarnation };
         const { clock, network } = host;
-        const isFounder = this.founders.some(founder => founder.host === name);
+        const isBootstrapMember = this.bootstrapMembers.some(founder => founder.host === name);
         const address = addressOf(name, port);
         const member = { host: name as HostId, address };
         const log = await ReplicatedLog.open({
@@ -99,18 +107,18 @@
             router,
             self,
             address,
-            bootstrap: isFounder ? this.founders : [...this.founders, member],
+            bootstrap: isBootstrapMember ? this.bootstrapMembers : [...this.bootstrapMembers, member],
             stateMachine: recorder,
             timing: this.timing,
             logger: new SilentLogger(),
         });
         await servePeers({ network, clock, address, self, router, timing: DEFAULT_PEER_TIMING });
-        log.onHolderChange(() => this.notice(() => this.checkInvariants()));
+        log.onHolderChange(() => this.runCheck(() => this.checkInvariants()));
         log.start();
         this.find(name).process = { host, log, recorder };
     }
 
-    /** Kills the control process of a host; unsynced bytes are lost but for the first few of each file. */
+    /** Kills the control process of a host. Each file loses its unsynced bytes except for the first `keptUnsynced`. */
     crash(name: string, keptUnsynced = 0): void {
         const host = this.find(name);
         host.process?.host.kill();
@@ -119,7 +127,7 @@
         host.disk.crash(keptUnsynced);
     }
 
-    /** Kills the process and takes its disk. */
+    /** Kills the control process of a host and erases its disk. */
     wipe(name: string): void {
         this.crash(name);
         this.find(name).disk.wipe();
@@ -129,30 +137,30 @@
         return this.hosts.get(name)!;
     }
 
-    /** The processes that are up, frozen ones too. */
+    /** The running processes, including frozen ones. */
     processes(): FleetProcess[] {
         return [...this.hosts.values()].flatMap(({ process }) => process ? [process] : []);
     }
 
-    /** The one that holds the lease now. */
+    /** The host that holds the control lease. */
     holder(): FleetHost | undefined {
         return [...this.hosts.values()].find(({ process }) => process?.log.holdsLease());
     }
 
-    /** Proposes a new command; notes it when it is accepted. */
+    /** Proposes a new command, and records it once it is accepted. */
     propose(process: FleetProcess, padding = ""): void {
-        const command = `command-${this.nextCommand++}${padding}`;
-        void process.log.propose(command).then(result => result.ifRight(() => this.noteAcked(command)));
+        const command = `command-${this.nextCommandNumber++}${padding}`;
+        void process.log.propose(command).then(result => result.ifRight(() => this.recordAccepted(command)));
     }
 
-    /** Proposes to the holder, and lets time pass until all is accepted. */
+    /** Proposes a number of commands to the holder, and advances time until all are accepted. */
     async proposeMany(count: number, padding = ""): Promise<void> {
         const wanted = this.acked.size + count;
         for (let done = 0; done < count; done++) this.propose(this.holder()!.process!, padding);
         await this.passUntil(() => this.acked.size >= wanted);
     }
 
-    /** Ends cuts, freezes, and what ails the disks. Hosts that are down stay so. */
+    /** Reconnects all links, thaws frozen processes and repairs slow or full disks. Stopped hosts stay down. */
     endFaults(): void {
         this.healAll();
         this.thawAll();
@@ -175,45 +183,48 @@
         }
     }
 
-    /** Lets time pass until all hosts are members, a new command is accepted, and all have applied the same; checks that. */
+    /**
+     * Advances time until all hosts are voters, a new command is accepted and all replicas have the same applied index; then checks
+     * that they agree.
+     */
     async converge(): Promise<void> {
         await this.passUntil(() => this.isWhole());
-        await this.proposeAgainUntilAccepted();
+        await this.proposeUntilAccepted();
         await this.passUntil(() => new Set(this.processes().map(({ log }) => log.appliedIndex())).size === 1);
         this.checkAlike();
     }
 
-    /** A holder that was cut off until now may still step down and lose what it was given. */
-    private async proposeAgainUntilAccepted(): Promise<void> {
+    /** Proposes repeatedly, since a holder that was isolated until now may still step down and lose a proposal. */
+    private async proposeUntilAccepted(): Promise<void> {
         const before = this.acked.size;
-        const end = this.clock.monotonic() + SETTLE_MS;
+        const end = this.clock.monotonic() + RECOVERY_TIMEOUT_MS;
         while (this.acked.size === before) {
-            if (this.clock.monotonic() >= end) throw new InvariantError("nothing is accepted any more");
+            if (this.clock.monotonic() >= end) throw new InvariantError("no command is accepted any more");
             const holder = this.holder();
             if (holder) this.propose(holder.process!);
             await this.pass(1_000);
         }
     }
 
-    /** Lets time pass, looking at the invariants every few milliseconds. */
+    /** Advances virtual time, checking the invariants every `CHECK_INTERVAL_MS`. */
     async pass(ms: number): Promise<void> {
         const end = this.clock.monotonic() + ms;
         while (this.clock.monotonic() < end) {
-            await this.clock.advance(Math.min(LOOK_MS, end - this.clock.monotonic()));
+            await this.clock.advance(Math.min(CHECK_INTERVAL_MS, end - this.clock.monotonic()));
             this.checkInvariants();
         }
     }
 
-    /** Lets time pass until the condition holds. */
-    async passUntil(condition: () => boolean, limitMs = SETTLE_MS): Promise<void> {
+    /** Advances virtual time until the condition holds. */
+    async passUntil(condition: () => boolean, limitMs = RECOVERY_TIMEOUT_MS): Promise<void> {
         const end = this.clock.monotonic() + limitMs;
         while (!condition()) {
             if (this.clock.monotonic() >= end) throw new InvariantError(`no progress within ${limitMs} ms`);
-            await this.pass(LOOK_MS);
+            await this.pass(CHECK_INTERVAL_MS);
         }
     }
 
-    /** True when the holder's members are the hosts' present data folders, all voters, by a committed entry. */
+    /** Whether the committed membership consists of exactly the hosts' current data folders, all of them voters. */
     isWhole(): boolean {
         const members = this.holder()?.process?.log.committedConfiguration().members ?? [];
         const stores = [...this.hosts.values()].map(({ process }) => process?.log.storeId);
@@ -221,7 +232,7 @@
             && members.every(({ role, storeId }) => role === "voter" && stores.includes(storeId));
     }
 
-    /** Checks that each replica has applied the same, with each accepted command in it once. */
+    /** Checks that all replicas applied the same sequence of commands, with each accepted command in it once. */
     checkAlike(): void {
         const [first, ...others] = this.processes().map(({ recorder }) => recorder.commands);
         for (const other of others) {
@@ -235,49 +246,50 @@
         }
     }
 
+    /** Checks that there is one holder at most, and that applied indexes and fencing tokens never decrease. */
     checkInvariants(): void {
-        if (this.broken) throw this.broken;
+        if (this.violation) throw this.violation;
         const holders = this.processes().filter(({ log }) => log.holdsLease());
         if (holders.length > 1) throw new InvariantError("two hosts hold the lease");
         for (const process of this.processes()) {
             const applied = process.log.appliedIndex();
-            if (applied < (this.appliedSeen.get(process) ?? 0)) throw new InvariantError("the applied index went back");
-            this.appliedSeen.set(process, applied);
+            if (applied < (this.lastApplied.get(process) ?? 0)) throw new InvariantError("the applied index went back");
+            this.lastApplied.set(process, applied);
         }
         const holder = this.holder();
         if (!holder) return;
-        this.checkToken(holder);
-        // Whoever acts must have seen all that was accepted, or it acts twice.
-        if (holder.process!.log.appliedIndex() < this.lastAcked) throw new InvariantError("the holder is behind");
+        this.checkFencingToken(holder);
+        // A holder that has not applied all accepted commands would repeat actions of its predecessor.
+        if (holder.process!.log.appliedIndex() < this.acceptedIndex) throw new InvariantError("the holder is behind");
     }
 
-    private noteAcked(command: string): void {
+    private recordAccepted(command: string): void {
         this.acked.add(command);
         const index = this.history.indexOf(command);
-        if (index === undefined) this.noteBroken(new InvariantError(`${command} is accepted and applied nowhere`));
-        this.lastAcked = Math.max(this.lastAcked, index ?? 0) as LogIndex;
+        if (index === undefined) this.recordViolation(new InvariantError(`${command} is accepted and applied nowhere`));
+        this.acceptedIndex = Math.max(this.acceptedIndex, index ?? 0) as LogIndex;
     }
 
-    /** Runs a check inside a replica's own step, which it must not disturb. */
-    private notice(check: () => void): void {
+    /** Runs a check from within a replica's callback, into which it must not throw. */
+    private runCheck(check: () => void): void {
         try {
             check();
         }
         catch (err) {
-            this.noteBroken(err);
+            this.recordViolation(err);
         }
     }
 
-    private checkToken({ name, process }: FleetHost): void {
+    private checkFencingToken({ name, process }: FleetHost): void {
         const token = process!.log.fencingToken();
-        const newest = Math.max(...this.tokens.keys());
+        const newest = Math.max(...this.holderByToken.keys());
         if (token < newest) throw new InvariantError(`token ${token} of ${name} is older than ${newest}`);
-        if ((this.tokens.get(token) ?? name) !== name) throw new InvariantError(`two hosts had token ${token}`);
-        this.tokens.set(token, name);
+        if ((this.holderByToken.get(token) ?? name) !== name) throw new InvariantError(`two hosts had token ${token}`);
+        this.holderByToken.set(token, name);
     }
 
-    private noteBroken(err: unknown): void {
-        this.broken ??= err;
+    private recordViolation(err: unknown): void {
+        this.violation ??= err;
     }
 }
 
--- a/src/faultInjection/routedFleet/index.ts
+++ b/src/faultInjection/routedFleet/index.ts
@@ -19,32 +19,35 @@
 import { checkDocument } from "../../routing/index.js";
 import { DEFAULT_REGISTRY_TIMING } from "../../upstream/index.js";
 import { ZoneCommand } from "../../zone/index.js";
-import { CALL_LIMIT_MS, TestCall, TestCaller, TestReply } from "../testCaller/index.js";
+import { CALL_TIMEOUT_MS, TestCall, TestCaller, TestReply } from "../testCaller/index.js";
 
 const PORTS = { control: 7001, callers: 8080, peers: 7000, upstream: 9000 } as const;
-const UPSTREAM_HOST = "10.0.9.";
+const UPSTREAM_HOST_PREFIX = "10.0.9.";
 const PEER_TIMING = { heartbeatMs: 500, silenceMs: 1_300 };
 const LOG_TIMING = { ...DEFAULT_LOG_TIMING, heartbeatMs: 250, leaseMs: 1_200, electionSpreadMs: 600 };
 const VIEW_LEASE_MS = 4_000;
-const HEARTBEAT_MS = 1_200;
-const SEEDS = 3;
-const START_LIMIT_MS = 30_000;
+const ANNOUNCEMENT_INTERVAL_MS = 1_200;
+const SEED_COUNT = 3;
+const START_TIMEOUT_MS = 30_000;
 
-/** How a fleet is laid out. */
+/** Options of a `RoutedFleet`. */
 export interface RoutedLayout {
     readonly seed: number;
+    /** Number of control processes. */
     readonly controls: number;
+    /** Number of entry processes. */
     readonly entries: number;
+    /** Options of each emulated upstream, where they differ from the defaults. */
     readonly upstreams: readonly Partial<CallStandInOptions>[];
-    /** Control hosts own the queues of pools; otherwise entries do. */
+    /** Whether control hosts own the queues of pools; otherwise entries do. */
     readonly queueHosts: boolean;
-    /** The zones that may be evacuated; undefined: any. */
+    /** The zones that may be evacuated; undefined for any. */
     readonly zones?: readonly string[];
 }
 
 /**
- * Control processes, entries and stand-ins for upstreams with the fleet document, under virtual time: the real code over ports in
- * memory. Entries and control processes know three control processes to begin with, as seeds.
+ * Control processes, entries and emulated upstreams that serve the routes of a fleet document: the production code over in-memory
+ * ports, under virtual time. Entries and control processes start with the addresses of three control processes as seeds.
  *
  * @example
  * const fleet = new RoutedFleet({ entries: 2 });
@@ -57,22 +60,22 @@
     readonly web = new MemoryWeb(this.fabric);
     readonly controls: (ControlProcess | undefined)[] = [];
     readonly entries: (EntryProcess | undefined)[] = [];
-    /** What owns queues on control hosts, by their numbers. */
+    /** The queue owners that run on control hosts, by control number. */
     readonly queues: (EntryProcess | undefined)[] = [];
     readonly disks: MemoryDisk[] = [];
     readonly upstreams: CallStandIn[] = [];
     readonly layout: RoutedLayout;
     private readonly random: SeededRandom;
     private readonly caller = new TestCaller(this.clock, this.web);
-    private readonly announcing = new AbortController();
-    private starts = 0;
+    private readonly announcementsAbort = new AbortController();
+    private startCount = 0;
 
     constructor(layout: Partial<RoutedLayout> = {}) {
         this.layout = { seed: 1, controls: 5, entries: 2, upstreams: [{}, {}], queueHosts: false, ...layout };
         this.random = new SeededRandom(this.layout.seed);
     }
 
-    /** Starts everything, puts a document in force and waits until it is served. */
+    /** Starts all processes and upstreams, puts a document in force and waits until it is served. */
     async start(document: unknown): Promise<void> {
         for (let number = 0; number < this.layout.controls; number++) {
             this.disks.push(this.makeDisk());
@@ -80,30 +83,32 @@
         }
         for (let number = 0; number < this.layout.entries; number++) await this.run(this.startEntry(number));
         for (const [number, options] of this.layout.upstreams.entries()) {
-            this.upstreams.push(await CallStandIn.start(this.describeUpstream(number, options)));
+            this.upstreams.push(await CallStandIn.start(this.makeUpstreamOptions(number, options)));
         }
-        void this.announceAll();
+        void this.announcePeriodically();
         await this.pass(3_000);
         await this.replace(document);
         await this.pass(500);
     }
 
+    /** Advances virtual time. */
     pass(ms: number): Promise<void> {
         return this.clock.advance(ms);
     }
 
-    run<Value>(work: Promise<Value>, limitMs = START_LIMIT_MS): Promise<Value> {
+    /** Advances virtual time until the work is done. */
+    run<Value>(work: Promise<Value>, limitMs = START_TIMEOUT_MS): Promise<Value> {
         return this.clock.runUntil(work, limitMs);
     }
 
-    async startControl(number: number, mayFound = false): Promise<void> {
+    async startControl(number: number, mayBootstrap = false): Promise<void> {
         const host = controlAddress(number);
         this.controls[number] = await ControlProcess.start({
-            ...this.portsOf(host.host),
+            ...this.makePorts(host.host),
             disk: this.disks[number],
-            self: this.identity(`control-${number}`),
+            self: this.makeIdentity(`control-${number}`),
             peers: host,
-            members: this.seeds().map(address => ({ address })),
+            members: this.seedAddresses().map(address => ({ address })),
             logTiming: LOG_TIMING,
             timing: PEER_TIMING,
             viewLeaseMs: VIEW_LEASE_MS,
@@ -111,57 +116,57 @@
             windowGraceMs: 5_000,
             platform: undefined,
             routing: {
-                seeds: this.seeds(),
+                seeds: this.seedAddresses(),
                 voters: this.layout.controls,
-                mayFound: mayFound && number < SEEDS,
+                mayFound: mayBootstrap && number < SEED_COUNT,
                 startsWindowMs: 5_000,
                 startsPatienceMs: 6_000,
-                silentAfterMs: 4 * HEARTBEAT_MS,
+                silentAfterMs: 4 * ANNOUNCEMENT_INTERVAL_MS,
                 zones: this.layout.zones as readonly ZoneId[] | undefined,
             },
         });
-        if (this.layout.queueHosts) this.queues[number] = await this.startQueues(number);
+        if (this.layout.queueHosts) this.queues[number] = await this.startQueueOwner(number);
     }
 
-    private startQueues(number: number): Promise<EntryProcess> {
+    private startQueueOwner(number: number): Promise<EntryProcess> {
         const { host } = controlAddress(number);
         return startQueueHost({
-            ...this.portsOf(host),
+            ...this.makePorts(host),
             metrics: new NoMetrics(),
-            self: this.identity(`control-${number}`),
+            self: this.makeIdentity(`control-${number}`),
             zone: "vogar" as ZoneId,
             region: "sudurnes",
             peers: controlAddress(number),
             sharedRouter: this.controls[number]!.router,
-            controlPeers: this.seeds(),
+            controlPeers: this.seedAddresses(),
             dialect: new OwnDialect(),
             timing: PEER_TIMING,
-            registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: 4 * HEARTBEAT_MS },
+            registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: 4 * ANNOUNCEMENT_INTERVAL_MS },
             windowMs: 5_000,
         });
     }
 
-    /** The number of the control host that owns a pool's queue, as an entry sees it; -1 where an entry does. */
+    /** Returns the number of the control host that owns a pool's queue according to an entry; -1 when an entry owns it. */
     queueOwner(pool: PoolId, entry = 0): number {
         const owner = this.entries[entry]!.dispatcher.ownerOf(pool);
         return Array.from({ length: this.layout.controls }, (_, number) => `control-${number}`).indexOf(owner);
     }
 
-    /** Cuts a control host off from all entries and upstreams, or joins it again. */
+    /** Isolates a control host from all entries and upstreams, or reconnects it. */
     cutControl(number: number, isCut: boolean): void {
         const others = this.entries.map((_, entry) => `10.0.1.${entry + 1}`);
         this.fabric.isolate(controlAddress(number).host, [
             ...others,
-            ...this.upstreams.map((_, at) => `${UPSTREAM_HOST}${at + 1}`),
+            ...this.upstreams.map((_, at) => `${UPSTREAM_HOST_PREFIX}${at + 1}`),
         ], isCut);
     }
 
-    /** Cuts a control host off from some entries; all else still reaches it. */
+    /** Isolates a control host from some entries; all other hosts still reach it. */
     cutControlFromEntries(number: number, entries: readonly number[]): void {
         this.fabric.isolate(controlAddress(number).host, entries.map(entry => `10.0.1.${entry + 1}`), true);
     }
 
-    /** Cuts all entries off from each other and from control hosts; they still reach upstreams. */
+    /** Isolates all entries from each other and from control hosts; they still reach upstreams. */
     cutEntriesApart(): void {
         const entries = this.entries.map((_, entry) => `10.0.1.${entry + 1}`);
         const controls = this.controls.map((_, number) => controlAddress(number).host);
@@ -171,13 +176,13 @@
     async startEntry(number: number): Promise<void> {
         const host = `10.0.1.${number + 1}`;
         this.entries[number] = await EntryProcess.start({
-            ...this.portsOf(host),
+            ...this.makePorts(host),
             metrics: new NoMetrics(),
-            self: this.identity(`entry-${number}`),
+            self: this.makeIdentity(`entry-${number}`),
             zone: "vogar" as ZoneId,
             region: "sudurnes",
             peers: { host, port: PORTS.peers },
-            controlPeers: this.seeds(),
+            controlPeers: this.seedAddresses(),
             callerLimits: DEFAULT_HTTP_LIMITS,
             limits: DEFAULT_ENTRY_LIMITS,
             timing: PEER_TIMING,
@@ -192,7 +197,7 @@
         });
     }
 
-    /** Ends an entry as SIGKILL does. */
+    /** Kills an entry as SIGKILL does. */
     async killEntry(number: number): Promise<void> {
         const entry = this.entries[number];
         this.entries[number] = undefined;
@@ -201,7 +206,7 @@
         await entry?.close();
     }
 
-    /** Ends a control process as a power cut does: unsynced bytes are lost. */
+    /** Kills a control process as a power cut does: unsynced bytes are lost. */
     async killControl(number: number): Promise<void> {
         const control = this.controls[number];
         const queues = this.queues[number];
@@ -212,22 +217,21 @@
         await Promise.all([control?.close(), queues?.close()]);
     }
 
-    /** An empty disk. */
     makeDisk(): MemoryDisk {
         return new MemoryDisk(this.clock);
     }
 
-    /** Gives a host an empty disk, as after the loss of the one that it had. */
+    /** Replaces a control host's disk by an empty one, as after a disk failure. */
     wipeDisk(number: number): void {
         this.disks[number] = this.makeDisk();
     }
 
-    /** The number of the control process that holds the lease; -1 for none. */
+    /** Returns the number of the control process that holds the lease; -1 for none. */
     holder(): number {
         return this.controls.findIndex(control => control?.log.holdsLease());
     }
 
-    /** Puts a document in force through one control process, or any. */
+    /** Replaces the fleet document through one control process. Returns whether it was accepted. */
     async replace(document: unknown, through = 0): Promise<boolean> {
         const { documents } = this.controls[through]!.routing!;
         const source = Buffer.from(JSON.stringify(document));
@@ -236,53 +240,53 @@
         return outcome.isRight();
     }
 
-    /** Evacuates or restores a zone through one control process. */
+    /** Evacuates or restores a zone through one control process. Returns whether the order was accepted. */
     async orderZone(kind: ZoneCommand["kind"], zone: string, through = 0): Promise<boolean> {
         const { zones } = this.controls[through]!.routing!;
         const outcome = await this.run(zones.order({ kind, zone: zone as ZoneId }));
         return outcome.isRight();
     }
 
-    /** Sends a call and reads its answer to the end. */
+    /** Sends a call and advances time until its response is complete. */
     call(call: TestCall): Promise<TestReply> {
-        return this.run(this.startCall(call), CALL_LIMIT_MS);
+        return this.run(this.startCall(call), CALL_TIMEOUT_MS);
     }
 
-    /** Sends a call; its answer comes as time passes. */
+    /** Sends a call without advancing time; the response arrives as the test advances it. */
     startCall(call: TestCall): Promise<TestReply> {
         return this.caller.send({ host: `10.0.1.${call.entry + 1}`, port: PORTS.callers }, call);
     }
 
-    /** Which upstream made an answer. */
+    /** Returns the id of the upstream that signed a response. */
     signerOf({ headers }: TestReply): string | undefined {
         return findHeader(headers, CALL_HEADERS.signature)?.split("/")[0];
     }
 
     async close(): Promise<void> {
-        this.announcing.abort();
+        this.announcementsAbort.abort();
         const ends = [...this.entries, ...this.queues, ...this.controls].map(process => process?.close());
         await this.run(Promise.all([...ends, ...this.upstreams.map(upstream => upstream.close())]));
     }
 
-    /** Lets an upstream say something to one control process. */
+    /** Sends an upstream's state announcement to one control process. Returns whether it was accepted. */
     announce(upstream: number, state: "ready" | "leaving" | "gone", through = 0): Promise<boolean> {
         const { publisher } = this.controls[through]!.routing!;
         return this.run(publisher.take(this.upstreams[upstream].announce(state)));
     }
 
-    private async announceAll(): Promise<void> {
-        while (!this.announcing.signal.aborted) {
+    private async announcePeriodically(): Promise<void> {
+        while (!this.announcementsAbort.signal.aborted) {
             for (const [number, upstream] of this.upstreams.entries()) {
                 if (!upstream.isUp) continue;
                 const live = this.controls.filter(control => control !== undefined);
                 void live[number % live.length]?.routing!.publisher.take(upstream.announce());
             }
-            await this.clock.sleep(HEARTBEAT_MS, this.announcing.signal);
+            await this.clock.sleep(ANNOUNCEMENT_INTERVAL_MS, this.announcementsAbort.signal);
         }
     }
 
-    private describeUpstream(number: number, options: Partial<CallStandInOptions>): CallStandInOptions {
-        const host = `${UPSTREAM_HOST}${number + 1}`;
+    private makeUpstreamOptions(number: number, options: Partial<CallStandInOptions>): CallStandInOptions {
+        const host = `${UPSTREAM_HOST_PREFIX}${number + 1}`;
         return {
             clock: this.clock,
             http: this.web.http(host),
@@ -298,15 +302,18 @@
         };
     }
 
-    private seeds(): Address[] {
-        return Array.from({ length: Math.min(SEEDS, this.layout.controls) }, (_, number) => controlAddress(number));
+    private seedAddresses(): Address[] {
+        return Array.from(
+            { length: Math.min(SEED_COUNT, this.layout.controls) },
+            (_, number) => controlAddress(number),
+        );
     }
 
-    private identity(name: string): { host: HostId; incarnation: Incarnation; } {
-        return { host: name as HostId, incarnation: `${name}.${++this.starts}` as Incarnation };
+    private makeIdentity(name: string): { host: HostId; incarnation: Incarnation; } {
+        return { host: name as HostId, incarnation: `${name}.${++this.startCount}` as Incarnation };
     }
 
-    private portsOf(host: string) {
+    private makePorts(host: string) {
         return {
             clock: this.clock,
             random: new SeededRandom(this.random.integer(1, 1_000_000)),
--- a/src/faultInjection/schedule/index.ts
+++ b/src/faultInjection/schedule/index.ts
@@ -1,75 +1,78 @@
 import { SeededRandom } from "../../ports/index.js";
 import { StoreError } from "../../store/index.js";
-import { InvariantError } from "../recorder/index.js";
+import { InvariantError } from "../recordingStateMachine/index.js";
 import { FleetHost, ReplicaFleet } from "../replicaFleet/index.js";
 
-/** What one run came to. */
+/** Result of one run. */
 export interface ScheduleReport {
     readonly seed: number;
     readonly faults: number;
+    /** Number of commands that the control log accepted. */
     readonly accepted: number;
     readonly virtualMs: number;
 }
 
-const FOUNDERS_OF_THREE = ["a", "b", "c"];
-const FOUNDERS_OF_FIVE = ["a", "b", "c", "d", "e"];
+const THREE_BOOTSTRAP_HOSTS = ["a", "b", "c"];
+const FIVE_BOOTSTRAP_HOSTS = ["a", "b", "c", "d", "e"];
 const EXTRA_HOST = "x";
-const DEFAULT_STEPS = 30;
-const MOST_TORN_BYTES = 80;
-const MOST_SLOW_SYNC_MS = 1_500;
+const DEFAULT_FAULT_COUNT = 30;
+const MAX_TORN_BYTES = 80;
+const MAX_SLOW_SYNC_MS = 1_500;
 
-type Fault = (run: Run) => Promise<void>;
+type Fault = (run: ScheduleRun) => Promise<void>;
 
-/** The weight is how often a fault stands in the draw. */
+/** The weight is the number of times that a fault is entered in the list from which faults are drawn. */
 const FAULTS: readonly (readonly [weight: number, fault: Fault])[] = [
-    [4, crashOne],
-    [5, restartOne],
-    [1, crashAll],
+    [4, crashHost],
+    [5, restartHost],
+    [1, crashAndRestartAll],
     [3, cutOneWay],
-    [2, cutPair],
-    [3, isolateOne],
+    [2, cutBothWays],
+    [3, isolateHost],
     [4, healAll],
-    [2, forgetConnections],
-    [3, freezeOne],
+    [2, blackholeConnections],
+    [3, freezeHost],
     [4, thawAll],
-    [2, slowOneDisk],
-    [2, fillOneDisk],
-    [3, mendDisks],
+    [2, slowDisk],
+    [2, limitDiskCapacity],
+    [3, repairDisks],
     [3, loseDiskThenAnotherHost],
     [2, changeMembers],
 ];
-const DRAW = FAULTS.flatMap(([weight, fault]) => Array.from({ length: weight }, () => fault));
+const WEIGHTED_FAULTS = FAULTS.flatMap(([weight, fault]) => Array.from({ length: weight }, () => fault));
 
-interface Run {
+/** State that the faults of one run share. */
+interface ScheduleRun {
     readonly fleet: ReplicaFleet;
     readonly random: SeededRandom;
 }
 
 /**
- * Runs one random schedule of faults against a fleet under load, then ends all faults and checks that the replicas agree.
+ * Runs one random schedule of faults against the replicas of a control log under load, then ends all faults and checks that the
+ * replicas agree.
  *
- * @param seed - Gives the same run each time.
- * @param steps - How many faults.
- * @throws InvariantError when a promise of the control log is broken.
+ * @param seed - Determines the whole run.
+ * @param faultCount - Number of faults to inject.
+ * @throws InvariantError when an invariant of the control log is violated.
  * @example
  * const report = await runSchedule(42);
  */
-export async function runSchedule(seed: number, steps = DEFAULT_STEPS): Promise<ScheduleReport> {
+export async function runSchedule(seed: number, faultCount = DEFAULT_FAULT_COUNT): Promise<ScheduleReport> {
     const random = new SeededRandom(seed);
-    const founders = random.next() < 0.7 ? FOUNDERS_OF_THREE : FOUNDERS_OF_FIVE;
-    const run: Run = { fleet: new ReplicaFleet(random, founders), random };
+    const bootstrapHosts = random.next() < 0.7 ? THREE_BOOTSTRAP_HOSTS : FIVE_BOOTSTRAP_HOSTS;
+    const run: ScheduleRun = { fleet: new ReplicaFleet(random, bootstrapHosts), random };
     const { fleet } = run;
     await fleet.startAll();
     if (random.next() < 0.8) await fleet.passUntil(() => fleet.isWhole());
-    for (let step = 0; step < steps; step++) {
-        await random.pick(DRAW)(run);
-        await passUnderLoad(run, random.between(50, 4_000));
+    for (let step = 0; step < faultCount; step++) {
+        await random.pick(WEIGHTED_FAULTS)(run);
+        await advanceUnderLoad(run, random.between(50, 4_000));
     }
-    await settle(run);
-    return { seed, faults: steps, accepted: fleet.acked.size, virtualMs: fleet.clock.monotonic() };
+    await endFaultsAndConverge(run);
+    return { seed, faults: faultCount, accepted: fleet.acked.size, virtualMs: fleet.clock.monotonic() };
 }
 
-async function settle({ fleet }: Run): Promise<void> {
+async function endFaultsAndConverge({ fleet }: ScheduleRun): Promise<void> {
     fleet.endFaults();
     for (const { name, process } of fleet.hosts.values()) {
         if (!process) await fleet.start(name);
@@ -77,7 +80,7 @@
     await fleet.converge();
 }
 
-async function passUnderLoad({ fleet, random }: Run, ms: number): Promise<void> {
+async function advanceUnderLoad({ fleet, random }: ScheduleRun, ms: number): Promise<void> {
     const end = fleet.clock.monotonic() + ms;
     while (fleet.clock.monotonic() < end) {
         await fleet.pass(random.between(5, 100));
@@ -88,99 +91,102 @@
     }
 }
 
-function pickUp({ fleet, random }: Run): FleetHost | undefined {
+function pickRunningHost({ fleet, random }: ScheduleRun): FleetHost | undefined {
     const up = [...fleet.hosts.values()].filter(({ process }) => process);
     const holder = fleet.holder();
     if (holder && random.next() < 0.5) return holder;
     return up.length > 0 ? random.pick(up) : undefined;
 }
 
-function pickPair({ fleet, random }: Run): [string, string] {
+function pickPair({ fleet, random }: ScheduleRun): [string, string] {
     const names = [...fleet.hosts.keys()];
     const from = random.pick(names);
     return [from, random.pick(names.filter(name => name !== from))];
 }
 
-async function crashOne(run: Run): Promise<void> {
-    const host = pickUp(run);
-    if (host) run.fleet.crash(host.name, run.random.integer(0, MOST_TORN_BYTES));
+async function crashHost(run: ScheduleRun): Promise<void> {
+    const host = pickRunningHost(run);
+    if (host) run.fleet.crash(host.name, run.random.integer(0, MAX_TORN_BYTES));
 }
 
-async function restartOne({ fleet, random }: Run): Promise<void> {
+async function restartHost({ fleet, random }: ScheduleRun): Promise<void> {
     const down = [...fleet.hosts.values()].filter(({ process }) => !process);
     if (down.length > 0) await fleet.start(random.pick(down).name);
 }
 
-async function crashAll({ fleet, random }: Run): Promise<void> {
-    for (const name of fleet.hosts.keys()) fleet.crash(name, random.integer(0, MOST_TORN_BYTES));
+async function crashAndRestartAll({ fleet, random }: ScheduleRun): Promise<void> {
+    for (const name of fleet.hosts.keys()) fleet.crash(name, random.integer(0, MAX_TORN_BYTES));
     await fleet.startAll();
 }
 
-async function cutOneWay(run: Run): Promise<void> {
+async function cutOneWay(run: ScheduleRun): Promise<void> {
     run.fleet.fabric.cut(...pickPair(run));
 }
 
-async function cutPair(run: Run): Promise<void> {
+async function cutBothWays(run: ScheduleRun): Promise<void> {
     const [one, other] = pickPair(run);
     run.fleet.fabric.cut(one, other);
     run.fleet.fabric.cut(other, one);
 }
 
-async function isolateOne(run: Run): Promise<void> {
-    const host = pickUp(run);
+async function isolateHost(run: ScheduleRun): Promise<void> {
+    const host = pickRunningHost(run);
     if (host) run.fleet.fabric.isolate(host.name, [...run.fleet.hosts.keys()], true);
 }
 
-async function healAll({ fleet }: Run): Promise<void> {
+async function healAll({ fleet }: ScheduleRun): Promise<void> {
     fleet.healAll();
 }
 
-async function forgetConnections(run: Run): Promise<void> {
+async function blackholeConnections(run: ScheduleRun): Promise<void> {
     run.fleet.fabric.forget(...pickPair(run));
 }
 
-async function freezeOne(run: Run): Promise<void> {
-    pickUp(run)?.process!.host.freeze();
+async function freezeHost(run: ScheduleRun): Promise<void> {
+    pickRunningHost(run)?.process!.host.freeze();
 }
 
-async function thawAll({ fleet }: Run): Promise<void> {
+async function thawAll({ fleet }: ScheduleRun): Promise<void> {
     fleet.thawAll();
 }
 
-async function slowOneDisk(run: Run): Promise<void> {
-    const host = pickUp(run);
-    if (host) host.disk.syncMs = run.random.between(1, MOST_SLOW_SYNC_MS);
+async function slowDisk(run: ScheduleRun): Promise<void> {
+    const host = pickRunningHost(run);
+    if (host) host.disk.syncMs = run.random.between(1, MAX_SLOW_SYNC_MS);
 }
 
-async function fillOneDisk(run: Run): Promise<void> {
-    const host = pickUp(run);
-    if (host) host.disk.capacity = await usedBytes(host) + run.random.integer(0, 2_000);
+async function limitDiskCapacity(run: ScheduleRun): Promise<void> {
+    const host = pickRunningHost(run);
+    if (host) host.disk.capacity = await countUsedBytes(host) + run.random.integer(0, 2_000);
 }
 
-async function mendDisks({ fleet }: Run): Promise<void> {
+async function repairDisks({ fleet }: ScheduleRun): Promise<void> {
     fleet.mendDisks();
 }
 
-/** A disk is only lost while all others are whole: more than that no majority survives. */
-async function loseDiskThenAnotherHost(run: Run): Promise<void> {
+/**
+ * Wipes one host's disk, and once that host is a member again, wipes or crashes another one. A disk is lost only while all other
+ * replicas are complete, because the log's majority survives no more than that.
+ */
+async function loseDiskThenAnotherHost(run: ScheduleRun): Promise<void> {
     const { fleet, random } = run;
     fleet.endFaults();
-    await passUnderLoad(run, 10_000);
+    await advanceUnderLoad(run, 10_000);
     if (!fleet.isWhole()) return;
     const names = [...fleet.hosts.keys()];
     const first = random.next() < 0.5 ? fleet.holder()!.name : random.pick(names);
-    if (random.next() < 0.3) await damageOne(run, first);
+    if (random.next() < 0.3) await corruptLog(run, first);
     fleet.wipe(first);
-    await passUnderLoad(run, random.between(0, 3_000));
+    await advanceUnderLoad(run, random.between(0, 3_000));
     await fleet.start(first);
     await fleet.passUntil(() => fleet.isWhole());
     const second = random.pick(names.filter(name => name !== first));
     if (random.next() < 0.5) fleet.wipe(second);
-    else fleet.crash(second, random.integer(0, MOST_TORN_BYTES));
+    else fleet.crash(second, random.integer(0, MAX_TORN_BYTES));
 }
 
-/** Changes one synced bit of the log; the host must refuse to start until an operator gives it an empty folder. */
-async function damageOne({ fleet, random }: Run, name: string): Promise<void> {
+/** Flips one synced bit of a host's log and checks that the host refuses to start on it; an operator must then empty the folder. */
+async function corruptLog({ fleet, random }: ScheduleRun, name: string): Promise<void> {
     fleet.crash(name);
     const { disk } = fleet.find(name);
     const path = `log/${random.pick(await disk.list("log"))}`;
@@ -189,10 +195,10 @@
     disk.damage(path, random.integer(0, size));
     const outcome = await fleet.start(name).then(() => undefined, (err: unknown) => err);
     if (outcome instanceof StoreError && outcome.reason === "damaged") return;
-    throw new InvariantError(`a folder with a changed bit was opened: ${String(outcome)}`);
+    throw new InvariantError(`a data folder with a flipped bit was opened: ${String(outcome)}`);
 }
 
-async function changeMembers(run: Run): Promise<void> {
+async function changeMembers(run: ScheduleRun): Promise<void> {
     const { fleet } = run;
     const extra = fleet.hosts.get(EXTRA_HOST);
     if (!extra) {
@@ -206,14 +212,14 @@
     if (holder.host.frozen || !holder.log.removeMember(storeId)) return;
     await healAll(run);
     await thawAll(run);
-    await passUnderLoad(run, 5_000);
+    await advanceUnderLoad(run, 5_000);
     const retired = fleet.holder()?.process?.log.committedConfiguration().retired ?? [];
     if (!retired.includes(storeId)) return;
     fleet.crash(EXTRA_HOST);
     fleet.hosts.delete(EXTRA_HOST);
 }
 
-async function usedBytes({ disk }: FleetHost): Promise<number> {
+async function countUsedBytes({ disk }: FleetHost): Promise<number> {
     const paths = ["identity", "vote", "snapshot", ...(await disk.list("log")).map(name => `log/${name}`)];
     const files = await Promise.all(paths.map(path => disk.read(path)));
     return files.reduce((sum, bytes) => sum + (bytes?.length ?? 0), 0);
--- a/src/faultInjection/testCaller/index.ts
+++ b/src/faultInjection/testCaller/index.ts
@@ -2,53 +2,57 @@
 import { Address, Clock, HeaderList, MemoryWeb } from "../../ports/index.js";
 
 const CALLER_HOST = "10.0.8.1";
-/** How long an answer may take, in milliseconds. */
-export const CALL_LIMIT_MS = 30_000;
+/** Time limit of a call: for the head of its response, and where a test waits for it, for its end. */
+export const CALL_TIMEOUT_MS = 30_000;
 
-/** A call as a test sends it. */
+/** A call that a test sends. */
 export interface TestCall {
+    /** Index of the entry process. */
     readonly entry: number;
     readonly path: string;
     readonly method?: string;
     readonly body?: string;
+    /** The caller's API key, sent as a bearer token. */
     readonly key?: string;
+    /** The request id; by default one is generated. */
     readonly request?: string;
     readonly headers?: HeaderList;
     readonly signal?: AbortSignal;
 }
 
-/** What its caller got. */
+/** The response that a test call received. */
 export interface TestReply {
+    /** The HTTP status; 0 when there was no response. */
     readonly status: number;
     readonly headers: HeaderList;
     readonly body: string;
-    /** False: the connection ended before the answer did. */
+    /** False when the connection ended before the response body was complete. */
     readonly isWhole: boolean;
     readonly tookMs: number;
 }
 
 /**
- * Sends calls as a caller does, each on a connection of its own.
+ * Sends calls as an external caller does, each on a new connection.
  *
  * @example
  * const reply = await caller.send(entryAddress, { entry: 0, path: "/orders/1" });
  */
 export class TestCaller {
-    private calls = 0;
+    private generatedIds = 0;
 
     constructor(private readonly clock: Clock, private readonly web: MemoryWeb) {}
 
     /**
-     * Sends a call and reads its answer to the end.
+     * Sends a call and reads its response to the end.
      *
-     * @param address - The entry's.
+     * @param address - Address of the entry process.
      */
     async send(
         address: Address,
         { path, method = "POST", body = "", key, headers = [], ...rest }: TestCall,
     ): Promise<TestReply> {
         const startedAt = this.clock.monotonic();
-        const request = rest.request ?? `call-${++this.calls}`;
+        const request = rest.request ?? `call-${++this.generatedIds}`;
         const sent = await this.web.http(CALLER_HOST).send({
             address,
             method,
@@ -62,7 +66,7 @@
             body: Buffer.from(body),
             fresh: true,
             connectTimeoutMs: 1_000,
-            headTimeoutMs: CALL_LIMIT_MS,
+            headTimeoutMs: CALL_TIMEOUT_MS,
             signal: rest.signal,
         });
         const tookMs = (): number => this.clock.monotonic() - startedAt;
