--- a/features/calls.feature
+++ b/features/calls.feature
@@ -1,13 +1,12 @@
 @at-most-once @not-run
-Feature: A call that must not be repeated runs at most once, and "not run" is true
+Feature: A call that must not be repeated runs at most once, and "not-run" is only stated of calls that did not run
 
   Background:
     Given a fleet of 2 entries, 3 control processes, 1 engines and 2 services
     And the workspaces "hotel" and "depot"
 
-  # A household is charged twice for one roast.
-  # The entry that holds the call dies after it was sent; the caller sends it again through another host.
-  # Cause: the second host knows nothing of the first send.
+  # Prevents a customer from being charged twice: the entry dies after it has sent the call to the service, and the caller
+  # repeats the call through another entry, which did not see the first send.
   Scenario: The entry dies between the send and the answer
     Given each service's next answer is late by 4000 ms
     When "depot" starts the order "two lambs" with the idempotency key "k-1" on entry 1
@@ -17,16 +16,15 @@
     Then the last order is refused with 409 "outcome-unknown" and the outcome "unknown"
     And the order "two lambs" has run once
 
-  Scenario: The same call through two hosts at the same time
+  Scenario: The same call through two entries concurrently
     Given each service's next answer is late by 1000 ms
     When "depot" starts the order "one ham" with the idempotency key "k-2" on entry 1
     And "depot" starts the order "one ham" with the idempotency key "k-2" on entry 2
     Then both orders are answered alike
     And the order "one ham" has run once
 
-  # A caller is told "not run" and books again, while the first booking has gone through.
-  # The service took the call and its answer never came back.
-  # Cause: a connection that ends without an answer says nothing about the call.
+  # The service accepts the call, but its response never arrives. A connection that ends without a response does not show
+  # whether the call ran; if it were reported as "not-run", the caller would book a second time.
   Scenario Outline: The answer is <fault>
     Given each service's next answer is <fault>
     When "depot" sends the order "acid 5 t" with the idempotency key "k-3" to entry 1
@@ -41,7 +39,7 @@
       | silent  |
       | crossed |
 
-  Scenario: No service listens any more
+  Scenario: All services refuse connections
     Given the services' hosts refuse connections
     When "depot" sends the order "nothing" with the idempotency key "k-4" to entry 1
     Then the last order has the outcome "not-run"
--- a/features/keys.feature
+++ b/features/keys.feature
@@ -5,9 +5,8 @@
     Given a fleet of 2 entries, 3 control processes, 1 engines and 2 services
     And the workspaces "hotel" and "depot"
 
-  # A key that leaked goes on being used by a caller who keeps a stream open.
-  # The operator withdraws it; the entry has let the request in long before.
-  # Cause: a key that is looked at only when a request comes in stays good for as long as its stream runs.
+  # An operator withdraws a leaked key whose request the entry accepted long before. If keys were checked only on arrival, the
+  # holder of a leaked key could use it for as long as a stream stays open.
   Scenario: A key is withdrawn while its stream runs
     When "hotel" starts a chat of 2000 tokens on entry 1
     And 20 tokens have come
@@ -21,17 +20,16 @@
     And the key of "hotel" is withdrawn
     Then the last chat is refused with 401 "key-withdrawn" and the outcome "not-run"
 
-  Scenario: A withdrawn key opens nothing on any entry
+  Scenario: Every entry refuses a withdrawn key
     When the key of "hotel" is withdrawn
     And "hotel" sends a chat of 10 tokens to entry 1
     Then the last chat is refused with 401 "key-unknown" and the outcome "not-run"
     When "hotel" sends a chat of 10 tokens to entry 2
     Then the last chat is refused with 401 "key-unknown" and the outcome "not-run"
 
-  # A withdrawn key still works on one host, hours later.
-  # That host is cut off from the control processes, serves callers all the same, and never hears of the withdrawal.
-  # Cause: a view without an end date.
-  Scenario: An entry that is cut off from the control processes stops taking new work
+  # An entry that is isolated from the control processes does not receive the withdrawal of a key. If its view of the
+  # configuration did not expire, the key would keep working there for hours.
+  Scenario: An entry that is isolated from the control processes stops accepting requests
     Given "hotel" starts a chat of 400 tokens on entry 1
     And 5 tokens have come
     When entry 1 is cut off from the control processes
--- a/features/leaving.feature
+++ b/features/leaving.feature
@@ -5,9 +5,8 @@
     Given a fleet of 3 entries, 3 control processes, 3 engines and 2 services
     And the workspaces "hotel" and "depot"
 
-  # A reclaimed engine dies with new work on it.
-  # It has said that it leaves, and an older announcement of its arrives later through another entry.
-  # Cause: announcements that are not ordered by the upstream's own numbers.
+  # An engine announces that it is leaving, and an older announcement of it arrives later through another entry. Unless
+  # announcements are ordered by the upstream's own sequence numbers, it would receive new work and be reclaimed with it.
   Scenario: A leaving upstream gets no new work after two seconds
     When an engine says that it leaves
     And 2000 ms pass
@@ -15,33 +14,31 @@
     Then each chat is answered whole
     And the leaving engine got none of them
 
-  Scenario: A zone's upstreams are reclaimed with two seconds' notice in the middle of streams
+  Scenario: An engine is reclaimed with two seconds' notice during streams
     When 9 chats of 400 tokens are started over all entries
     And 1000 ms pass
     And an engine is reclaimed with 2000 ms notice
     Then each chat is answered whole
 
-  # A planned restart cuts a cutting sheet in half.
-  # Cause: a process that ends while streams run on it.
-  Scenario: A planned stop of an entry cuts no request
+  # Prevents a planned restart from ending the process while streams run on it, which would truncate answers.
+  Scenario: A planned stop of an entry interrupts no request
     When 6 chats of 200 tokens are started over all entries
     And entry 1 is stopped as planned
     Then each chat is answered whole
     And the stop of entry 1 was whole
 
-  # Callers of other hosts are refused because one host is restarted.
-  # The host that stops owns the pool's queue; their tickets wait in it.
-  # Cause: a queue that ends with its owner, where it should go to the next one.
+  # The stopping entry owns a pool's queue, in which tickets of other entries wait. The queue must move to the next owner;
+  # if it ended with the old one, callers of other entries would be refused.
   Scenario: The owner of a queue is stopped while tickets of other entries wait in it
     Given 70 patient chats of 100 tokens are started on entries that do not own the queue
     When 500 ms pass
     And the owner of the queue is stopped as planned
     Then each chat is answered whole
 
-  # Engines get more requests than they have slots, and all streams on them slow down.
-  # The owner of the queue dies, and the next one takes engines for idle whose latest load report is from before.
-  # Cause: what the lost owner had granted was known to it alone.
-  Scenario: A new owner counts what runs already
+  # The owner of a queue dies, and only it knew which requests it had granted. If the next owner relied on the engines' last
+  # load reports, which predate those grants, it would assume idle engines, send them more requests than they have slots
+  # and slow down all their streams.
+  Scenario: A new owner counts the requests that already run
     Given the upstreams' announcements are lost from now on for 1900 ms
     And 48 chats of 600 tokens are started on entries that do not own the queue
     When 300 ms pass
@@ -50,7 +47,7 @@
     And 30 chats of 20 tokens are started on entries that do not own the queue
     Then no engine has more requests than slots within the next 400 ms
 
-  Scenario: Callers go on while each entry is restarted in turn
+  Scenario: Callers are served while each entry is restarted in turn
     When chats keep coming while the entries are restarted one after the other
     Then each chat is answered whole, or was refused as "not-run"
     And each restart was whole
--- a/features/processes.feature
+++ b/features/processes.feature
@@ -1,12 +1,11 @@
 @processes
-Feature: The promises hold between processes of their own
+Feature: The guarantees hold between separate operating-system processes
 
-  The other features run all processes in one, under virtual time. These few run them as they are deployed, on loopback,
-  and give signals that no process can catch.
+  The other features simulate all processes in one, under virtual time. These run them as they are deployed, on loopback,
+  and send them signals that a process can't catch.
 
-  # A household is charged twice, or told that nothing was ordered while the butcher has the order.
-  # An entry dies with orders and chats under way; their callers send them again through the other entry.
-  # Cause: the entry that takes the resend knows nothing of what the dead one had already sent.
+  # An entry dies with orders and chats in progress, and their callers send them again through the other entry, which does not
+  # see what the dead one had already sent. An order must neither run twice nor be reported as not run when it ran.
   @at-most-once @not-run
   Scenario: An entry is killed while orders and chats run
     Given processes: 2 entries and 3 control processes
@@ -16,9 +15,8 @@
     And no call has run twice, and nothing refused has run
     And the usage windows are reported once, with what was answered
 
-  # A key that an operator granted is gone, or a window is billed twice.
-  # The control holder dies; soon after it is back, another control process dies too.
-  # Cause: an answer that stood on the disk of one host, or a successor that begins a report anew.
+  # The control holder dies, and soon after it is back another one dies too. A change that was acknowledged when only one
+  # host had stored it would be lost, and a successor that made a new report would bill a window twice.
   @config @usage
   Scenario: The control holder is killed, and another one after the first is back
     Given processes: 2 entries and 3 control processes
@@ -30,30 +28,28 @@
     And each request has an answer or a truthful "unknown"
     And the usage windows are reported once, with what was answered
 
-  # The platform gets two figures for one window, or an order of a process that is no longer in charge.
-  # The holder freezes with a report under way, another takes over, and the first wakes up and goes on where it was.
-  # Cause: a lease that was checked before the freeze and used after it. This platform ignores fencing tokens.
+  # The holder freezes with a report in progress, another process takes over, and the first one resumes where it was. It
+  # checked its lease before the freeze and relies on it afterwards, so that the platform could receive two figures for one
+  # window, or an order of a former holder. This platform ignores fencing tokens.
   @usage @orders
-  Scenario: The control holder freezes and wakes after another has taken over
+  Scenario: The control holder freezes and resumes after another has taken over
     Given processes: 2 entries and 3 control processes, and a platform that ignores fencing tokens
     When 40 chats and 40 orders are sent within 6000 ms
     And the control holder is frozen until another has reported a usage window, and wakes
     Then each request has an answer or a truthful "unknown"
     And the usage windows are reported once, with what was answered
 
-  # All workspaces are gone after a repair.
-  # A disk is replaced; the empty process joins again; then another host is lost for good.
-  # Cause: an empty folder that counts for the majority before it holds what was accepted.
+  # A control process rejoins with an empty folder after its disk was replaced; then another host is lost permanently. If
+  # the empty replica counted towards the majority before it stored all accepted entries, all workspaces could be lost.
   @config
-  Scenario: A control process comes back with an empty folder, and another is killed
+  Scenario: A control process rejoins with an empty folder, and the holder is killed
     Given processes: 2 entries and 3 control processes
     When a control process that is not the holder is killed, loses its folder and is promoted again
     And the control holder is killed while 12 workspaces are made
     Then each accepted workspace is there with its key
 
-  # A sheet breaks off in the middle whenever a host is updated.
-  # The supervisor sends SIGTERM while answers stream.
-  # Cause: a process that ends when it is told to, not when its work has ended.
+  # On an update the supervisor sends SIGTERM while answers stream. The process must finish them before it exits; otherwise
+  # answers would be truncated.
   @stop
   Scenario: An entry is stopped as planned while it streams
     Given processes: 2 entries and 3 control processes
@@ -62,8 +58,7 @@
     Then it ends with the exit code 0
     And all streams came whole
 
-  # A key that leaked goes on being used by a caller who keeps a stream open.
-  # Cause: a key that is looked at only when a request comes in.
+  # If keys were checked only when a request arrives, a leaked key could be used for as long as a stream stays open.
   @key
   Scenario: A key is withdrawn while its stream runs
     Given processes: 2 entries and 3 control processes
--- a/features/silence.feature
+++ b/features/silence.feature
@@ -1,13 +1,12 @@
 @answer @config
-Feature: Connections that go silent while new ones work
+Feature: Open connections become unresponsive while new ones work
 
   Background:
     Given a fleet of 3 entries, 3 control processes, 3 engines and 1 services
     And the workspaces "hotel" and "depot"
 
-  # Requests hang on hosts that all look well.
-  # A middlebox forgets all open connections at once; nothing closes, nothing comes.
-  # Cause: neither end is told, and TCP alone finds out after minutes.
+  # A middlebox drops the state of all open connections at once: no data arrives, and no connection closes. Neither end is
+  # notified and TCP alone detects it only after minutes, in which requests would hang on seemingly healthy hosts.
   Scenario Outline: Open connections between <a> and <b> are forgotten
     When 3 chats of 50 tokens are started over all entries
     And all open connections between <a> and <b> are forgotten
--- a/features/traces.feature
+++ b/features/traces.feature
@@ -1,7 +1,7 @@
 @answer @tier @fairness @at-most-once @usage
-Feature: Recorded traces against their stated outcomes
+Feature: Replayed traces meet their stated outcomes
 
-  Scenario Outline: <trace> over 7 entries
+  Scenario Outline: Replay of <trace> over 7 entries
     Given the fleet of the trace "<trace>" with 7 entries and 3 control processes
     When the trace is replayed
     Then the trace's stated outcome holds
--- a/features/whole-path.feature
+++ b/features/whole-path.feature
@@ -1,12 +1,12 @@
 @answer @usage @key
-Feature: The whole path
-  A caller's request goes through an entry to an upstream and back, and what it used is reported once.
+Feature: Requests from caller to upstream and back
+  A caller's request goes through an entry to an upstream, the answer goes back, and its usage is reported once.
 
   Background:
     Given a fleet of 2 entries, 3 control processes, 3 engines and 2 services
     And the workspaces "hotel" and "depot"
 
-  Scenario: A streamed chat comes back whole from each entry
+  Scenario: Each entry returns the complete answer of a streamed chat
     When "hotel" sends a chat of 40 tokens to entry 1
     And "depot" sends a chat of 25 tokens to entry 2
     Then each chat is answered whole
@@ -18,10 +18,9 @@
     Then both orders are answered alike
     And the order "12 drums" has run once
 
-  # A booking that ran is on no bill, or on two.
-  # The entry dies right after the answer; the caller gets it again through another host.
-  # Cause: usage that is counted apart from the record of the call.
-  Scenario: A call is billed once, whoever dies after it
+  # The entry dies right after the response, and the caller repeats the call through another entry. If usage were counted
+  # separately from the record of the call, the call could be billed twice or not at all.
+  Scenario: A call is billed once, even if its entry is killed right after it
     When "depot" sends the order "7 drums" with the idempotency key "o-2" to entry 1
     And entry 1 is killed
     And "depot" sends the order "7 drums" with the idempotency key "o-2" to entry 2
@@ -36,6 +35,6 @@
     Then the platform has one report for each window
     And the reports give "hotel" 2 requests and 70 tokens
 
-  Scenario: A key that nobody granted is refused
+  Scenario: A key that was never granted is refused
     When "stranger" sends a chat of 10 tokens to entry 1
     Then the last chat is refused with 401 "key-unknown" and the outcome "not-run"
--- a/src/features/steps/answers.ts
+++ b/src/features/steps/answers.ts
@@ -3,15 +3,15 @@
 import { EngineStandIn, RequestFault } from "../../emulator/index.js";
 import { FleetWorld } from "../world/index.js";
 
-const STEP_MS = 5;
-const PATIENCE_MS = 60_000;
+const POLL_INTERVAL_MS = 5;
+const TOKENS_TIMEOUT_MS = 60_000;
 
-function engines(world: FleetWorld): EngineStandIn[] {
+function listEngines(world: FleetWorld): EngineStandIn[] {
     return [...world.fleet.standIns.engines.values()];
 }
 
 function addFault(world: FleetWorld, fault: RequestFault): void {
-    for (const engine of engines(world)) engine.faults.add(fault);
+    for (const engine of listEngines(world)) engine.faults.add(fault);
 }
 
 When(
@@ -23,20 +23,20 @@
 
 When("{int} tokens have come", async function(this: FleetWorld, tokens: number) {
     const chat = this.chats.at(-1)!;
-    for (let passed = 0; passed < PATIENCE_MS; passed += STEP_MS) {
+    for (let passed = 0; passed < TOKENS_TIMEOUT_MS; passed += POLL_INTERVAL_MS) {
         if (chat.received.split(" ").length > tokens) return;
-        await this.fleet.pass(STEP_MS);
+        await this.fleet.advance(POLL_INTERVAL_MS);
     }
-    assert.fail(`only "${chat.received}" has come`);
+    assert.fail(`only "${chat.received}" was received`);
 });
 
 When("the engine that runs it crashes", async function(this: FleetWorld) {
-    const engine = engines(this).find(candidate => candidate.stats().running > 0)!;
+    const engine = listEngines(this).find(candidate => candidate.stats().running > 0)!;
     await this.settle(engine.crash());
 });
 
 When("all engines crash", async function(this: FleetWorld) {
-    await this.settle(Promise.all(engines(this).map(engine => engine.crash())));
+    await this.settle(Promise.all(listEngines(this).map(engine => engine.crash())));
 });
 
 Given(
@@ -51,27 +51,27 @@
 });
 
 Given("the engines are busy with chats of {string}", async function(this: FleetWorld, workspace: string) {
-    const slots = engines(this).length * 16;
+    const slots = listEngines(this).length * 16;
     for (let sent = 0; sent < slots; sent++) this.sendChat(workspace, 150, 1 + sent % 2, { className: "sheet" });
-    await this.fleet.pass(1_000);
+    await this.fleet.advance(1_000);
 });
 
 When(
     "{int} chats of {int} tokens are spread over all entries",
     function(this: FleetWorld, count: number, tokens: number) {
-        this.spreadChats(count, tokens);
+        this.sendChatsRoundRobin(count, tokens);
     },
 );
 
 When(
     "{int} chats of {int} tokens are started over all entries",
     function(this: FleetWorld, count: number, tokens: number) {
-        this.spreadChats(count, tokens);
+        this.sendChatsRoundRobin(count, tokens);
     },
 );
 
 When("{int} ms pass", async function(this: FleetWorld, ms: number) {
-    await this.fleet.pass(ms);
+    await this.fleet.advance(ms);
 });
 
 Then("the first chat is answered whole", async function(this: FleetWorld) {
@@ -106,7 +106,7 @@
         const chat = this.chats.at(-1)!;
         const result = await this.settle(chat.result);
         assert.deepEqual({ errorType: result.errorType, outcome: result.outcome }, { errorType, outcome });
-        assert.ok(chat.expected.startsWith(result.text), "what came is not the beginning of the answer");
+        assert.ok(chat.expected.startsWith(result.text), "the received text is not a prefix of the expected answer");
     },
 );
 
--- a/src/features/steps/calls.ts
+++ b/src/features/steps/calls.ts
@@ -4,14 +4,14 @@
 import { CallerResult } from "../world/caller.js";
 import { FleetWorld } from "../world/index.js";
 
-const RESEND_PAUSE_MS = 1_000;
-const MOST_RESENDS = 60;
+const RESEND_INTERVAL_MS = 1_000;
+const MAX_RESENDS = 60;
 
 function addFault(world: FleetWorld, fault: ServiceFault): void {
     for (const service of world.fleet.standIns.services.values()) service.addFaults(fault);
 }
 
-function faultOf(kind: string): ServiceFault {
+function makeFault(kind: string): ServiceFault {
     if (kind === "crossed") return { kind, id: "request-of-somebody-else" };
     return { kind: kind as "lost" | "silent" };
 }
@@ -21,7 +21,7 @@
 });
 
 Given("each service's next answer is {word}", function(this: FleetWorld, kind: string) {
-    addFault(this, faultOf(kind));
+    addFault(this, makeFault(kind));
 });
 
 Given("the services' hosts refuse connections", async function(this: FleetWorld) {
@@ -46,10 +46,10 @@
 When(
     "{string} sends the order {string} with the idempotency key {string} to entry {int} until it has a last word",
     async function(this: FleetWorld, workspace: string, text: string, key: string, entry: number) {
-        for (let sent = 0; sent < MOST_RESENDS; sent++) {
+        for (let sent = 0; sent < MAX_RESENDS; sent++) {
             const result = await this.settle(this.sendOrder(workspace, text, key, entry).result);
             if (result.errorType !== "still-running") return;
-            await this.fleet.pass(RESEND_PAUSE_MS);
+            await this.fleet.advance(RESEND_INTERVAL_MS);
         }
     },
 );
@@ -63,14 +63,14 @@
     await this.settle(this.fleet.killControl(1));
 });
 
-async function lastOrder(world: FleetWorld): Promise<CallerResult> {
+async function awaitLastOrder(world: FleetWorld): Promise<CallerResult> {
     return (await world.orderResults()).at(-1)!;
 }
 
 Then(
     "the last order is refused with {int} {string} and the outcome {string}",
     async function(this: FleetWorld, status: number, errorType: string, outcome: string) {
-        const result = await lastOrder(this);
+        const result = await awaitLastOrder(this);
         assert.deepEqual(
             { status: result.status, errorType: result.errorType, outcome: result.outcome },
             { status, errorType, outcome },
@@ -79,7 +79,7 @@
 );
 
 Then("the last order has the outcome {string}", async function(this: FleetWorld, outcome: string) {
-    assert.equal((await lastOrder(this)).outcome, outcome);
+    assert.equal((await awaitLastOrder(this)).outcome, outcome);
 });
 
 Then("the order {string} has never run", function(this: FleetWorld, text: string) {
--- a/src/features/steps/crashes.ts
+++ b/src/features/steps/crashes.ts
@@ -2,26 +2,27 @@
 import assert from "node:assert/strict";
 import { FleetWorld } from "../world/index.js";
 
-/** Between two sends, in milliseconds: the entries have heard of the crash before. */
-const PAUSE_MS = 500;
-const PROMPT = "a sheet that no engine survives [crash]";
-const ORDER = "{\"roasts\":\"one that no service survives [crash]\"}";
+/** Longer than the entries need to exchange the report of a crash. */
+const SEND_INTERVAL_MS = 500;
+const CRASHING_PROMPT = "a sheet that no engine survives [crash]";
+const CRASHING_ORDER = "{\"roasts\":\"one that no service survives [crash]\"}";
 
-interface StandIn {
+/** An emulated engine or service. */
+interface UpstreamWithStats {
     stats(): { readonly state: string; };
 }
 
-function countGone(standIns: Iterable<StandIn>): number {
-    return [...standIns].filter(standIn => standIn.stats().state === "gone").length;
+function countCrashed(upstreams: Iterable<UpstreamWithStats>): number {
+    return [...upstreams].filter(upstream => upstream.stats().state === "gone").length;
 }
 
 When(
     "{string} sends {int} times the same chat that crashes its engine, to each entry in turn",
     async function(this: FleetWorld, workspace: string, times: number) {
         for (let time = 0; time < times; time++) {
-            const chat = this.sendChat(workspace, 1, 1 + time % 2, { prompt: PROMPT });
+            const chat = this.sendChat(workspace, 1, 1 + time % 2, { prompt: CRASHING_PROMPT });
             await this.settle(chat.result);
-            await this.fleet.pass(PAUSE_MS);
+            await this.fleet.advance(SEND_INTERVAL_MS);
         }
     },
 );
@@ -30,20 +31,20 @@
     "{string} sends {int} times the same order that crashes its service, each under a key of its own",
     async function(this: FleetWorld, workspace: string, times: number) {
         for (let time = 0; time < times; time++) {
-            const order = this.sendOrder(workspace, ORDER, `key-${time}`, 1 + time % 2);
+            const order = this.sendOrder(workspace, CRASHING_ORDER, `key-${time}`, 1 + time % 2);
             await this.settle(order.result);
-            await this.fleet.pass(PAUSE_MS);
+            await this.fleet.advance(SEND_INTERVAL_MS);
         }
     },
 );
 
 Then("at most {int} engines have crashed", function(this: FleetWorld, most: number) {
-    const crashed = countGone(this.fleet.standIns.engines.values());
+    const crashed = countCrashed(this.fleet.standIns.engines.values());
     assert.ok(crashed > 0 && crashed <= most, `${crashed} crashed`);
 });
 
 Then("at most {int} services have crashed", function(this: FleetWorld, most: number) {
-    const crashed = countGone(this.fleet.standIns.services.values());
+    const crashed = countCrashed(this.fleet.standIns.services.values());
     assert.ok(crashed > 0 && crashed <= most, `${crashed} crashed`);
 });
 
--- a/src/features/steps/holders.ts
+++ b/src/features/steps/holders.ts
@@ -1,14 +1,14 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
 import { FleetWorld } from "../world/index.js";
-import { controlHost, STAND_IN_HOST } from "../world/memoryFleet.js";
+import { controlHost, EMULATOR_HOST } from "../world/memoryFleet.js";
 
 interface HolderWorld extends FleetWorld {
-    isolated: number;
+    isolatedControl: number;
 }
 
 const MS_PER_SECOND = 1_000;
-const REPORT_MS = 20_000;
+const REPORT_WAIT_MS = 20_000;
 
 Given("a fleet whose platform {word} old fencing tokens", async function(this: FleetWorld, word: string) {
     await this.startFleet({
@@ -35,16 +35,16 @@
 
 When("the holder is isolated as soon as it has connected to the platform", function(this: HolderWorld) {
     const { fleet } = this;
-    this.isolated = fleet.holder();
+    this.isolatedControl = fleet.holder();
     fleet.fabric.onceConnected(
-        controlHost(this.isolated),
-        STAND_IN_HOST,
-        () => fleet.isolateControl(this.isolated, true),
+        controlHost(this.isolatedControl),
+        EMULATOR_HOST,
+        () => fleet.isolateControl(this.isolatedControl, true),
     );
 });
 
 When("the isolated holder is joined again", function(this: HolderWorld) {
-    this.fleet.isolateControl(this.isolated, false);
+    this.fleet.isolateControl(this.isolatedControl, false);
 });
 
 When(
@@ -53,8 +53,8 @@
         const { fleet } = this;
         const holder = controlHost(fleet.holder());
         const others = fleet.controlNumbers().map(controlHost);
-        fleet.fabric.onceConnected(holder, STAND_IN_HOST, () => {
-            fleet.slowLinks.set(`${holder}>${STAND_IN_HOST}`, ms);
+        fleet.fabric.onceConnected(holder, EMULATOR_HOST, () => {
+            fleet.linkLatenciesMs.set(`${holder}>${EMULATOR_HOST}`, ms);
             fleet.fabric.isolate(holder, others, true);
         });
     },
@@ -87,7 +87,7 @@
 
 Then("the reports give each workspace what was answered", async function(this: FleetWorld) {
     const results = await this.chatResults();
-    await this.fleet.pass(this.fleet.layout.windowMs + REPORT_MS);
+    await this.fleet.advance(this.fleet.layout.windowMs + REPORT_WAIT_MS);
     const accepted = new Map(
         this.fleet.standIns.platform.usage.received
             .filter(({ isStale }) => !isStale)
@@ -98,11 +98,11 @@
         const answered = this.chats.filter((chat, index) =>
             chat.workspace === workspace && results[index].outcome === "answered"
         );
-        const mine = lines.filter(line => line.workspace === workspace);
+        const workspaceLines = lines.filter(line => line.workspace === workspace);
         assert.deepEqual(
             {
-                requests: mine.reduce((sum, line) => sum + line.requests, 0),
-                tokens: mine.reduce((sum, line) => sum + line.completion_tokens, 0),
+                requests: workspaceLines.reduce((sum, line) => sum + line.requests, 0),
+                tokens: workspaceLines.reduce((sum, line) => sum + line.completion_tokens, 0),
             },
             { requests: answered.length, tokens: answered.reduce((sum, chat) => sum + chat.tokens, 0) },
         );
--- a/src/features/steps/keys.ts
+++ b/src/features/steps/keys.ts
@@ -13,7 +13,7 @@
 
 When("the key of {string} is withdrawn", async function(this: FleetWorld, workspace: string) {
     const startedAt = this.fleet.clock.monotonic();
-    await this.fleet.change({
+    await this.fleet.applyChange({
         kind: "key.withdraw",
         keyId: `${workspace}-key` as KeyId,
         operator: "anna",
@@ -30,19 +30,19 @@
     this.fleet.cutEntryFromControl(entry - 1, true);
 });
 
-/** A request with the key in a place where it must not stand, beside the right one. */
-function misplaceKey(key: string, place: string): Pick<HttpCall, "path" | "body"> {
+/** Builds a request that carries the key in a forbidden place, in addition to the authorization header. */
+function makeMisplacedKeyRequest(key: string, place: string): Pick<HttpCall, "path" | "body"> {
     const chat = (content: string): Uint8Array =>
         Buffer.from(JSON.stringify({ model: "draft", messages: [{ role: "user", content }] }));
-    const coded = [...key].map(letter => `%${letter.charCodeAt(0).toString(16)}`).join("");
-    const escaped = [...key].map(letter => `\\u00${letter.charCodeAt(0).toString(16)}`).join("");
+    const percentEncoded = [...key].map(letter => `%${letter.charCodeAt(0).toString(16)}`).join("");
+    const jsonEscaped = [...key].map(letter => `\\u00${letter.charCodeAt(0).toString(16)}`).join("");
     const service = `${CALLER_PATHS.services}orders/book`;
     const places: Record<string, Pick<HttpCall, "path" | "body">> = {
         "query": { path: `${CALLER_PATHS.chat}?key=${key}`, body: chat("hello") },
-        "percent-coded url": { path: `${CALLER_PATHS.chat}?key=${coded}`, body: chat("hello") },
+        "percent-coded url": { path: `${CALLER_PATHS.chat}?key=${percentEncoded}`, body: chat("hello") },
         "message": { path: CALLER_PATHS.chat, body: chat(`my key is ${key}`) },
         "service body": { path: service, body: Buffer.from(`key=${key}`) },
-        "escaped json": { path: service, body: Buffer.from(`{"key":"${escaped}"}`) },
+        "escaped json": { path: service, body: Buffer.from(`{"key":"${jsonEscaped}"}`) },
     };
     return places[place];
 }
@@ -59,7 +59,7 @@
                 fresh: true,
                 connectTimeoutMs: 1_000,
                 headTimeoutMs: 60_000,
-                ...misplaceKey(key, place),
+                ...makeMisplacedKeyRequest(key, place),
             }),
         );
         const reply = sent.unsafeCoerce();
--- a/src/features/steps/leaving.ts
+++ b/src/features/steps/leaving.ts
@@ -3,7 +3,7 @@
 import { PoolId } from "../../ids/index.js";
 import { FleetWorld } from "../world/index.js";
 
-const LOOK_MS = 10;
+const CHECK_INTERVAL_MS = 10;
 
 When("an engine says that it leaves", function(this: FleetWorld) {
     [...this.fleet.standIns.engines.values()][0].leave();
@@ -19,22 +19,22 @@
 });
 
 When("entry {int} is stopped as planned", async function(this: FleetWorld, entry: number) {
-    await this.fleet.pass(300);
-    this.stops.push(await this.settle(this.fleet.stopEntry(entry - 1)));
+    await this.fleet.advance(300);
+    this.stopResults.push(await this.settle(this.fleet.stopEntry(entry - 1)));
 });
 
 Then("the stop of entry {int} was whole", function(this: FleetWorld, _entry: number) {
-    assert.deepEqual(this.stops, [true]);
+    assert.deepEqual(this.stopResults, [true]);
 });
 
-function queueOwner(world: FleetWorld): number {
+function findQueueOwner(world: FleetWorld): number {
     const { entries } = world.fleet;
     const owner = entries.find(entry => entry)!.dispatcher.ownerOf("draft" as PoolId);
     return entries.findIndex((_, number) => owner === `entry-${number}`);
 }
 
-function sendElsewhere(world: FleetWorld, count: number, tokens: number, className: string): void {
-    const owner = queueOwner(world);
+function sendToOtherEntries(world: FleetWorld, count: number, tokens: number, className: string): void {
+    const owner = findQueueOwner(world);
     const others = world.fleet.entryNumbers().filter(number => number !== owner && world.fleet.entries[number]);
     for (let sent = 0; sent < count; sent++) {
         world.sendChat("hotel", tokens, others[sent % others.length] + 1, { className });
@@ -44,23 +44,23 @@
 Given(
     "{int} chats of {int} tokens are started on entries that do not own the queue",
     function(this: FleetWorld, count: number, tokens: number) {
-        sendElsewhere(this, count, tokens, "summary");
+        sendToOtherEntries(this, count, tokens, "summary");
     },
 );
 
 Given(
     "{int} patient chats of {int} tokens are started on entries that do not own the queue",
     function(this: FleetWorld, count: number, tokens: number) {
-        sendElsewhere(this, count, tokens, "bulk");
+        sendToOtherEntries(this, count, tokens, "bulk");
     },
 );
 
 When("the owner of the queue is stopped as planned", async function(this: FleetWorld) {
-    this.stops.push(await this.settle(this.fleet.stopEntry(queueOwner(this))));
+    this.stopResults.push(await this.settle(this.fleet.stopEntry(findQueueOwner(this))));
 });
 
 When("the owner of the queue is killed", async function(this: FleetWorld) {
-    await this.settle(this.fleet.killEntry(queueOwner(this)));
+    await this.settle(this.fleet.killEntry(findQueueOwner(this)));
 });
 
 When("the upstreams' announcements are lost from now on for {int} ms", function(this: FleetWorld, ms: number) {
@@ -74,8 +74,8 @@
 Then(
     "no engine has more requests than slots within the next {int} ms",
     async function(this: FleetWorld, ms: number) {
-        for (let passed = 0; passed < ms; passed += LOOK_MS) {
-            await this.fleet.pass(LOOK_MS);
+        for (let passed = 0; passed < ms; passed += CHECK_INTERVAL_MS) {
+            await this.fleet.advance(CHECK_INTERVAL_MS);
             for (const { id, queued } of this.fleet.standIns.stats().engines) {
                 assert.equal(queued, 0, `${id} after ${passed} ms`);
             }
@@ -86,7 +86,7 @@
 When("chats keep coming while the entries are restarted one after the other", async function(this: FleetWorld) {
     const restartAll = async (): Promise<void> => {
         for (const number of this.fleet.entryNumbers()) {
-            this.stops.push(await this.fleet.stopEntry(number));
+            this.stopResults.push(await this.fleet.stopEntry(number));
             await this.fleet.startEntry(number);
             await this.fleet.clock.sleep(1_000);
         }
@@ -95,5 +95,5 @@
 });
 
 Then("each restart was whole", function(this: FleetWorld) {
-    assert.deepEqual(this.stops, this.fleet.entryNumbers().map(() => true));
+    assert.deepEqual(this.stopResults, this.fleet.entryNumbers().map(() => true));
 });
--- a/src/features/steps/limits.ts
+++ b/src/features/steps/limits.ts
@@ -3,7 +3,7 @@
 import { ChangeId, WorkspaceId } from "../../ids/index.js";
 import { FleetWorld } from "../world/index.js";
 
-const BETWEEN_CHATS_MS = 10;
+const CHAT_INTERVAL_MS = 10;
 
 Given(
     "the limit of {string} is {int} tokens in a window",
@@ -12,7 +12,7 @@
         const { registry } = this.fleet.controls[this.fleet.holder()]!.state;
         const base = registry.workspace(id)!.revision;
         const changeId = `limit-${workspace}` as ChangeId;
-        await this.fleet.change({ kind: "workspace.limit", id, tokenLimit, base, operator: "anna", changeId });
+        await this.fleet.applyChange({ kind: "workspace.limit", id, tokenLimit, base, operator: "anna", changeId });
     },
 );
 
@@ -28,7 +28,7 @@
         const { entries } = this.fleet.layout;
         for (let sent = 0; sent < count; sent++) {
             this.sendChat(workspace, tokens, 1 + sent % entries, { maxTokens: tokens });
-            await this.fleet.pass(BETWEEN_CHATS_MS);
+            await this.fleet.advance(CHAT_INTERVAL_MS);
         }
         await this.chatResults();
     },
@@ -38,8 +38,8 @@
     "{string} was answered at most {int} tokens, and at least one chat was refused with {int} {string}",
     async function(this: FleetWorld, workspace: string, limit: number, status: number, errorType: string) {
         const results = await this.chatResults();
-        const mine = this.chats.filter(chat => chat.workspace === workspace);
-        const answered = mine.filter((_, index) => results[index].outcome === "answered");
+        const workspaceChats = this.chats.filter(chat => chat.workspace === workspace);
+        const answered = workspaceChats.filter((_, index) => results[index].outcome === "answered");
         const tokens = answered.reduce((sum, chat) => sum + chat.tokens, 0);
         assert.ok(tokens > 0 && tokens <= limit, `${tokens} tokens`);
         assert.ok(results.some(result => result.status === status && result.errorType === errorType));
--- a/src/features/steps/purchases.ts
+++ b/src/features/steps/purchases.ts
@@ -6,25 +6,26 @@
 import { FleetWorld } from "../world/index.js";
 
 interface PurchaseWorld extends FleetWorld {
-    /** Requests that engines had under way when the platform was told to stop them. */
-    workAtStop: number[];
+    /** For each engine that the platform was ordered to stop, its running and queued requests at that time. */
+    requestsAtStop: number[];
     reclaimedZone: string;
-    /** How many orders and chats there were before the reclaim. */
+    /** Number of orders before the zone was reclaimed. */
     ordersBefore: number;
+    /** Number of chats sent before the zone was reclaimed. */
     chatsBefore: number;
 }
 
 const ZONES = ["keflavik", "grindavik", "vogar"];
 const MS_PER_SECOND = 1_000;
-const TOKENS = 40;
-const FIRST_ENGINES = 3;
-const SLOTS = 4;
+const TOKENS_PER_CHAT = 40;
+const INITIAL_ENGINES = 3;
+const SLOTS_PER_ENGINE = 4;
 const BUSY_SLOTS = 12;
-const LONG_TOKENS = 4_000;
-/** Steps with minutes of virtual time take real seconds on a busy machine. */
-const LONG_STEP = { timeout: 120_000 };
-const ORDER_LIMIT_MS = 60_000;
-/** Longer than any window that a scenario takes: no usage report takes a fault meant for an order. */
+const TOKENS_PER_LONG_CHAT = 4_000;
+/** Timeout of steps that simulate minutes of virtual time, which takes seconds of wall-clock time on a busy machine. */
+const LONG_STEP_OPTIONS = { timeout: 120_000 };
+const ORDER_TIMEOUT_MS = 60_000;
+/** Longer than any scenario, so that no usage report consumes a fault injected for an order. */
 const WINDOW_MS = 3_600_000;
 
 Given(
@@ -33,22 +34,22 @@
         await this.startFleet({
             windowMs: WINDOW_MS,
             emulator: {
-                engines: FIRST_ENGINES,
+                engines: INITIAL_ENGINES,
                 services: 0,
                 zones: ZONES,
-                slots: SLOTS,
+                slots: SLOTS_PER_ENGINE,
                 stepMs: 25,
                 billedMinimumMs: 10_000,
                 platformChecksFence: false,
             },
             purchases: { cover: { holdMs: 15_000 }, forecast: { peakHalfLifeMs: 10_000, startMs: 5_000 } },
         });
-        this.workAtStop = [];
+        this.requestsAtStop = [];
         const { standIns } = this.fleet;
         const stop = standIns.stop.bind(standIns);
         standIns.stop = (id: string) => {
             const stats = standIns.engines.get(id)?.stats();
-            this.workAtStop.push((stats?.running ?? 0) + (stats?.queued ?? 0));
+            this.requestsAtStop.push((stats?.running ?? 0) + (stats?.queued ?? 0));
             return stop(id);
         };
     },
@@ -56,28 +57,30 @@
 
 When(
     "{string} chats come for {int} seconds, from {int} up to {int} a second",
-    LONG_STEP,
+    LONG_STEP_OPTIONS,
     async function(this: FleetWorld, className: string, seconds: number, first: number, last: number) {
         let due = 0;
         let sent = 0;
         for (let second = 0; second < seconds; second++) {
             const rate = first + (last - first) * second / Math.max(1, seconds - 1);
-            for (due += rate; sent < Math.floor(due); sent++) await sendOne(this, className, sent, rate);
-            if (rate < 1) await this.fleet.pass(MS_PER_SECOND);
+            for (due += rate; sent < Math.floor(due); sent++) await sendChatAtRate(this, className, sent, rate);
+            if (rate < 1) await this.fleet.advance(MS_PER_SECOND);
         }
     },
 );
 
-async function sendOne(world: FleetWorld, className: string, turn: number, rate: number): Promise<void> {
-    world.sendChat(turn % 2 === 0 ? "hotel" : "depot", TOKENS, turn % world.fleet.layout.entries + 1, { className });
-    await world.fleet.pass(MS_PER_SECOND / rate);
+async function sendChatAtRate(world: FleetWorld, className: string, turn: number, rate: number): Promise<void> {
+    world.sendChat(turn % 2 === 0 ? "hotel" : "depot", TOKENS_PER_CHAT, turn % world.fleet.layout.entries + 1, {
+        className,
+    });
+    await world.fleet.advance(MS_PER_SECOND / rate);
 }
 
 When("{int} long chats are started", function(this: FleetWorld, count: number) {
     for (let sent = 0; sent < count; sent++) {
-        this.sendChat("hotel", LONG_TOKENS, sent % this.fleet.layout.entries + 1, {
+        this.sendChat("hotel", TOKENS_PER_LONG_CHAT, sent % this.fleet.layout.entries + 1, {
             className: "bulk",
-            maxTokens: LONG_TOKENS,
+            maxTokens: TOKENS_PER_LONG_CHAT,
         });
     }
 });
@@ -105,11 +108,11 @@
     this.fleet.standIns.platform.addFaults({ kind: "lost" });
 });
 
-When("the platform has an order", LONG_STEP, async function(this: FleetWorld) {
+When("the platform has an order", LONG_STEP_OPTIONS, async function(this: FleetWorld) {
     await awaitOrder(this);
 });
 
-When("the holder is killed as soon as the platform has an order", LONG_STEP, async function(this: FleetWorld) {
+When("the holder is killed as soon as the platform has an order", LONG_STEP_OPTIONS, async function(this: FleetWorld) {
     await awaitOrder(this);
     await this.settle(this.fleet.killControl(this.fleet.holder()));
 });
@@ -118,9 +121,10 @@
     "the zone with the most ordered reclaimable engines is reclaimed with {int} ms notice",
     function(this: PurchaseWorld, noticeMs: number) {
         const { orders } = this.fleet.standIns.platform;
-        const cheap = orderedEngines(this).filter(({ id }) => orders.offerOf(id)!.reclaimable);
-        assert.ok(cheap.length > 0, "no reclaimable engine was ordered");
-        const countIn = (zone: string): number => cheap.filter(({ id }) => orders.offerOf(id)!.zone === zone).length;
+        const reclaimableEngines = listOrderedEngines(this).filter(({ id }) => orders.offerOf(id)!.reclaimable);
+        assert.ok(reclaimableEngines.length > 0, "no reclaimable engine was ordered");
+        const countIn = (zone: string): number =>
+            reclaimableEngines.filter(({ id }) => orders.offerOf(id)!.zone === zone).length;
         this.reclaimedZone = [...ZONES].sort((a, b) => countIn(b) - countIn(a))[0];
         this.ordersBefore = orders.log.orders.length;
         this.chatsBefore = this.chats.length;
@@ -130,34 +134,34 @@
 
 When(
     "the entries are cut off from the control processes for {int} seconds",
-    LONG_STEP,
+    LONG_STEP_OPTIONS,
     async function(this: FleetWorld, seconds: number) {
-        cutEntries(this);
-        await this.fleet.pass(seconds * MS_PER_SECOND);
+        isolateEntries(this);
+        await this.fleet.advance(seconds * MS_PER_SECOND);
     },
 );
 
 When(
     "the entries are cut off from the control processes and the holder is killed, for {int} seconds",
-    LONG_STEP,
+    LONG_STEP_OPTIONS,
     async function(this: FleetWorld, seconds: number) {
-        cutEntries(this);
+        isolateEntries(this);
         await this.settle(this.fleet.killControl(this.fleet.holder()));
-        await this.fleet.pass(seconds * MS_PER_SECOND);
+        await this.fleet.advance(seconds * MS_PER_SECOND);
         assert.ok(this.fleet.holder() >= 0);
     },
 );
 
 Then("engines were ordered in each zone, the cheap ones evenly", function(this: FleetWorld) {
     const { orders } = this.fleet.standIns.platform;
-    const offers = orderedEngines(this).map(({ id }) => orders.offerOf(id)!);
+    const offers = listOrderedEngines(this).map(({ id }) => orders.offerOf(id)!);
     const counts = ZONES.map(zone => offers.filter(offer => offer.zone === zone && offer.reclaimable).length);
     assert.ok(Math.min(...counts) > 0, String(counts));
     assert.ok(Math.max(...counts) - Math.min(...counts) <= 1, String(counts));
 });
 
 Then("each ordered engine got work", function(this: FleetWorld) {
-    const engines = orderedEngines(this);
+    const engines = listOrderedEngines(this);
     assert.ok(engines.length > 0);
     for (const engine of engines) assert.ok(engine.stats().requests > 0, engine.id);
 });
@@ -167,14 +171,14 @@
 });
 
 Then("no engine had work when the platform was told to stop it", function(this: PurchaseWorld) {
-    assert.deepEqual(this.workAtStop, this.workAtStop.map(() => 0));
+    assert.deepEqual(this.requestsAtStop, this.requestsAtStop.map(() => 0));
 });
 
 Then("no engine got work later than two seconds after it was told to drain", function(this: FleetWorld) {
     for (const { id, lateRequests } of this.fleet.standIns.stats().engines) assert.equal(lateRequests, 0, id);
 });
 
-Then("each chat sent since the reclaim is answered whole", LONG_STEP, async function(this: PurchaseWorld) {
+Then("each chat sent since the reclaim is answered whole", LONG_STEP_OPTIONS, async function(this: PurchaseWorld) {
     const results = await this.chatResults();
     for (const [index, { expected }] of this.chats.entries()) {
         if (index < this.chatsBefore) continue;
@@ -184,19 +188,19 @@
 });
 
 Then("replacements were ordered in other zones", function(this: PurchaseWorld) {
-    const since = startOrders(this).filter(order =>
+    const replacements = listStartOrders(this).filter(order =>
         this.fleet.standIns.platform.orders.log.orders.indexOf(order)
             >= this.ordersBefore
     );
-    assert.ok(since.some(({ target }) => !target.startsWith(this.reclaimedZone)));
+    assert.ok(replacements.some(({ target }) => !target.startsWith(this.reclaimedZone)));
 });
 
 Then("only steady engines were ordered", function(this: FleetWorld) {
-    assertSteady(this);
+    assertAllSteady(this);
 });
 
 Then("only steady engines were started", function(this: FleetWorld) {
-    assertSteady(this);
+    assertAllSteady(this);
 });
 
 Then("the platform got an order again under its own id", function(this: FleetWorld) {
@@ -209,10 +213,10 @@
 
 Then("nothing was ordered twice", function(this: FleetWorld) {
     const { orders } = this.fleet.standIns.platform;
-    // Cheap engines for 12 slots in use and a quarter more; the steady first ones are not worth their price beside them.
-    const needed = Math.ceil(BUSY_SLOTS * DEFAULT_COVER.headroom / SLOTS);
-    assert.equal(orderedEngines(this).length, needed);
-    assert.equal(orders.stats().started, FIRST_ENGINES + needed);
+    // Reclaimable engines for 12 busy slots plus 25 % headroom; at their price the initial steady engines are not worth keeping.
+    const needed = Math.ceil(BUSY_SLOTS * DEFAULT_COVER.headroom / SLOTS_PER_ENGINE);
+    assert.equal(listOrderedEngines(this).length, needed);
+    assert.equal(orders.stats().started, INITIAL_ENGINES + needed);
 });
 
 Then("no engine was told to drain", function(this: FleetWorld) {
@@ -221,36 +225,37 @@
     }
 });
 
-function cutEntries(world: FleetWorld): void {
+function isolateEntries(world: FleetWorld): void {
     for (const number of world.fleet.entryNumbers()) world.fleet.cutEntryFromControl(number, true);
 }
 
 async function awaitOrder(world: FleetWorld): Promise<void> {
     const { log } = world.fleet.standIns.platform.orders;
     for (let passed = 0; log.orders.length === 0; passed++) {
-        assert.ok(passed < ORDER_LIMIT_MS, "no order came");
-        await world.fleet.pass(1);
+        assert.ok(passed < ORDER_TIMEOUT_MS, "the platform received no order");
+        await world.fleet.advance(1);
     }
 }
 
-function startOrders(world: FleetWorld): LoggedOrder[] {
+function listStartOrders(world: FleetWorld): LoggedOrder[] {
     return world.fleet.standIns.platform.orders.log.orders.filter(({ action }) => action === "start");
 }
 
-/** Engines that an order has started. */
-function orderedEngines(world: FleetWorld): EngineStandIn[] {
+/** Lists the engines that completed orders have started. */
+function listOrderedEngines(world: FleetWorld): EngineStandIn[] {
     const records = world.fleet.controls.flatMap<OrderRecord>(control => control?.state.orders.listFinished() ?? []);
-    const ids = new Set(records.filter(isStart).flatMap(record => record.upstreams));
+    const ids = new Set(records.filter(isStartOrder).flatMap(record => record.upstreams));
     return [...world.fleet.standIns.engines.values()].filter(engine => ids.has(engine.id));
 }
 
-function isStart({ target }: OrderRecord): boolean {
+function isStartOrder({ target }: OrderRecord): boolean {
     return target.to === "platform" && target.body.action === "start";
 }
 
-function assertSteady(world: FleetWorld): void {
+/** Checks that no ordered engine is reclaimable. */
+function assertAllSteady(world: FleetWorld): void {
     const { orders } = world.fleet.standIns.platform;
-    const engines = orderedEngines(world);
+    const engines = listOrderedEngines(world);
     assert.ok(engines.length > 0);
     for (const { id } of engines) assert.equal(orders.offerOf(id)!.reclaimable, false, id);
 }
--- a/src/features/steps/traces.ts
+++ b/src/features/steps/traces.ts
@@ -19,7 +19,7 @@
 import { FleetWorld } from "../world/index.js";
 import { CALLER_HOST } from "../world/memoryFleet.js";
 
-const REPLAY_LIMIT_MS = 300_000;
+const REPLAY_TIMEOUT_MS = 300_000;
 
 interface TraceWorld extends FleetWorld {
     trace: Trace;
@@ -35,16 +35,28 @@
 async function deployTrace(world: TraceWorld): Promise<void> {
     const { header } = world.trace;
     const template = header.name as TemplateName;
-    const by = (id: string) => ({ operator: "anna", changeId: id as ChangeId });
+    const makeOrigin = (id: string) => ({ operator: "anna", changeId: id as ChangeId });
     const { fleet } = world;
-    await fleet.change({ kind: "template.put", name: template, spec: makeTraceTemplate(header), base: 0, ...by("t") });
+    await fleet.applyChange({
+        kind: "template.put",
+        name: template,
+        spec: makeTraceTemplate(header),
+        base: 0,
+        ...makeOrigin("t"),
+    });
     for (const { name, weight } of header.workspaces) {
         const id = name as WorkspaceId;
         const parameters = [{ name: WEIGHT_PARAMETER, value: weight }];
-        await fleet.change({ kind: "workspace.create", id, template, parameters, ...by(`create ${name}`) });
+        await fleet.applyChange({
+            kind: "workspace.create",
+            id,
+            template,
+            parameters,
+            ...makeOrigin(`create ${name}`),
+        });
         const keyId = `${name}-1` as KeyId;
         const hash = hashKey(keyOf(name));
-        await fleet.change({ kind: "key.grant", workspace: id, keyId, hash, ...by(`grant ${name}`) });
+        await fleet.applyChange({ kind: "key.grant", workspace: id, keyId, hash, ...makeOrigin(`grant ${name}`) });
     }
 }
 
@@ -71,9 +83,9 @@
     };
     const startedAt = fleet.clock.monotonic();
     const replay = replayTrace(ports, trace, { ...DEFAULT_CALLER, addresses, keys, speed: 1, applyFault });
-    this.results = await fleet.run(replay, REPLAY_LIMIT_MS);
+    this.results = await fleet.run(replay, REPLAY_TIMEOUT_MS);
     this.replayMs = fleet.clock.monotonic() - startedAt;
-    await fleet.pass(20_000);
+    await fleet.advance(20_000);
 });
 
 Then("the trace's stated outcome holds", function(this: TraceWorld) {
@@ -92,15 +104,18 @@
     const { usage } = this.fleet.standIns.platform;
     const { conflicting, doubledWindows } = usage.stats();
     assert.deepEqual({ conflicting, doubledWindows }, { conflicting: 0, doubledWindows: 0 });
-    const billed = usage.received.flatMap(({ report }) => report.lines);
+    const billedLines = usage.received.flatMap(({ report }) => report.lines);
     for (const { name } of this.trace.header.workspaces) {
-        const requests = billed.filter(line => line.workspace === name).reduce((sum, line) => sum + line.requests, 0);
-        // A caller that left in the middle of a stream is billed for what it got.
-        const mine = this.results.filter((_, index) => this.trace.requests[index].workspace === name);
-        const answered = mine.filter(({ verdict }) => verdict === "answered").length;
-        const left = mine.filter(({ verdict }) => verdict === "left").length;
+        const requests = billedLines.filter(line => line.workspace === name).reduce(
+            (sum, line) => sum + line.requests,
+            0,
+        );
+        // A caller that disconnected during a stream is billed for the tokens it received.
+        const workspaceResults = this.results.filter((_, index) => this.trace.requests[index].workspace === name);
+        const answered = workspaceResults.filter(({ verdict }) => verdict === "answered").length;
+        const disconnected = workspaceResults.filter(({ verdict }) => verdict === "left").length;
         assert.ok(
-            requests >= answered && requests <= answered + left,
+            requests >= answered && requests <= answered + disconnected,
             `${name}: ${requests} billed, ${answered} answered`,
         );
     }
--- a/src/features/steps/upstreamLimits.ts
+++ b/src/features/steps/upstreamLimits.ts
@@ -4,11 +4,16 @@
 
 const MS_PER_SECOND = 1_000;
 
-/** Lets time pass between the starts of some requests, so that they fill a span. */
-async function spread(world: FleetWorld, count: number, seconds: number, start: (turn: number) => void): Promise<void> {
+/** Starts requests at equal intervals over a time span. */
+async function startEvenly(
+    world: FleetWorld,
+    count: number,
+    seconds: number,
+    start: (turn: number) => void,
+): Promise<void> {
     for (let turn = 0; turn < count; turn++) {
         start(turn);
-        await world.fleet.pass(seconds * MS_PER_SECOND / count);
+        await world.fleet.advance(seconds * MS_PER_SECOND / count);
     }
 }
 
@@ -24,7 +29,7 @@
     "{int} chats of {int} tokens are spread over all entries within {int} seconds",
     async function(this: FleetWorld, count: number, tokens: number, seconds: number) {
         const { length } = this.fleet.entryNumbers();
-        await spread(this, count, seconds, turn => this.sendChat("hotel", tokens, 1 + turn % length));
+        await startEvenly(this, count, seconds, turn => this.sendChat("hotel", tokens, 1 + turn % length));
         await this.chatResults();
     },
 );
@@ -33,7 +38,7 @@
     "{int} orders are spread over all entries within {int} seconds",
     async function(this: FleetWorld, count: number, seconds: number) {
         const { length } = this.fleet.entryNumbers();
-        await spread(this, count, seconds, turn => {
+        await startEvenly(this, count, seconds, turn => {
             this.sendOrder("hotel", `order ${turn}`, `key-${turn}`, 1 + turn % length);
         });
         await this.orderResults();
--- a/src/features/steps/wholePath.ts
+++ b/src/features/steps/wholePath.ts
@@ -11,7 +11,7 @@
 );
 
 Given("the workspaces {string} and {string}", async function(this: FleetWorld, first: string, second: string) {
-    await this.deploy([first, second]);
+    await this.deployWorkspaces([first, second]);
 });
 
 When(
@@ -30,7 +30,7 @@
 );
 
 When("the usage window ends", async function(this: FleetWorld) {
-    await this.fleet.pass(this.fleet.layout.windowMs + 5_000);
+    await this.fleet.advance(this.fleet.layout.windowMs + 5_000);
 });
 
 Then("each chat is answered whole", async function(this: FleetWorld) {
--- a/src/features/world/caller.ts
+++ b/src/features/world/caller.ts
@@ -8,19 +8,20 @@
     STREAM_DONE,
 } from "../../protocol/index.js";
 
-/** What a caller got. */
+/** The response to one request, as a caller received it. */
 export interface CallerResult {
-    /** 0 when there was no answer at all. */
+    /** The HTTP status; 0 when there was no response. */
     readonly status: number;
-    /** What the answer says became of the request; "lost" when it ended without saying so. */
+    /** The outcome that the response states; "lost" when it ended without stating one. */
     readonly outcome: string;
     readonly text: string;
     readonly errorType?: string;
     readonly retryAfterMs?: number;
+    /** Whether the response repeats that of an earlier call with the same idempotency key. */
     readonly replayed: boolean;
 }
 
-/** A chat as a scenario sends it. */
+/** A chat request that a scenario sends. */
 export interface ChatCall {
     readonly key: string;
     readonly model: string;
@@ -29,11 +30,11 @@
     readonly stream?: boolean;
     readonly maxTokens?: number;
     readonly signal?: AbortSignal;
-    /** Told of the text that has come so far. */
+    /** Called after each event of a stream with the text received so far. */
     readonly onText?: (text: string) => void;
 }
 
-/** A service call as a scenario sends it. */
+/** A service call that a scenario sends. */
 export interface ServiceCall {
     readonly key: string;
     readonly service: string;
@@ -42,9 +43,9 @@
     readonly idempotencyKey?: string;
 }
 
-const LONG_MS = 120_000;
+const RESPONSE_TIMEOUT_MS = 120_000;
 
-/** Sends a chat to one entry and reads the answer to its end. */
+/** Sends a chat to one entry and reads the response to its end. */
 export async function sendChat(http: Http, address: Address, call: ChatCall): Promise<CallerResult> {
     const messages = [{ role: "user", content: call.prompt }];
     const body = { model: call.model, messages, stream: call.stream ?? true, max_tokens: call.maxTokens };
@@ -58,17 +59,17 @@
         body: Buffer.from(JSON.stringify(body)),
         fresh: true,
         connectTimeoutMs: 1_000,
-        headTimeoutMs: LONG_MS,
+        headTimeoutMs: RESPONSE_TIMEOUT_MS,
         signal: call.signal,
     });
-    if (sent.isLeft()) return noAnswer();
+    if (sent.isLeft()) return makeLostResult();
     const reply = sent.unsafeCoerce();
     if (body.stream && reply.status === 200) return readStream(reply, call.onText);
     return readWhole(reply);
 }
 
-/** Sends a service call to one entry and reads the answer to its end. */
-export async function sendService(http: Http, address: Address, call: ServiceCall): Promise<CallerResult> {
+/** Sends a service call to one entry and reads the response to its end. */
+export async function sendServiceCall(http: Http, address: Address, call: ServiceCall): Promise<CallerResult> {
     const headers: [string, string][] = [["authorization", `Bearer ${call.key}`], ["content-type", "application/json"]];
     if (call.idempotencyKey) headers.push([IDEMPOTENCY_HEADER, call.idempotencyKey]);
     const sent = await http.send({
@@ -79,9 +80,9 @@
         body: Buffer.from(call.body),
         fresh: true,
         connectTimeoutMs: 1_000,
-        headTimeoutMs: LONG_MS,
+        headTimeoutMs: RESPONSE_TIMEOUT_MS,
     });
-    return sent.isLeft() ? noAnswer() : readWhole(sent.unsafeCoerce());
+    return sent.isLeft() ? makeLostResult() : readWhole(sent.unsafeCoerce());
 }
 
 async function readStream(reply: HttpReply, onText?: (text: string) => void): Promise<CallerResult> {
@@ -119,7 +120,7 @@
 
 async function readWhole(reply: HttpReply): Promise<CallerResult> {
     const text = await readReplyText(reply).catch(() => undefined);
-    if (text === undefined) return { ...noAnswer(), status: reply.status };
+    if (text === undefined) return { ...makeLostResult(), status: reply.status };
     const err = reply.status >= 400 ? (JSON.parse(text) as ErrorBody).error : undefined;
     return {
         status: reply.status,
@@ -131,6 +132,6 @@
     };
 }
 
-function noAnswer(): CallerResult {
+function makeLostResult(): CallerResult {
     return { status: 0, outcome: "lost", text: "", replayed: false };
 }
--- a/src/features/world/deployment.ts
+++ b/src/features/world/deployment.ts
@@ -2,8 +2,8 @@
 import { hashKey, TemplateSpec } from "../../workspace/index.js";
 import { MemoryFleet } from "./memoryFleet.js";
 
-/** The template that scenarios make their workspaces from. */
-export const SHEET_TEMPLATE: TemplateSpec = {
+/** The template from which scenarios create their workspaces. */
+export const SCENARIO_TEMPLATE: TemplateSpec = {
     parameters: [{ name: "weight", default: 1 }],
     weight: "$weight",
     classes: [
@@ -16,27 +16,39 @@
     nonRepeatable: ["orders" as PoolId],
 };
 
-/** The key of a scenario's workspace: the same on each run. */
+/** Derives the API key of a scenario's workspace; it is the same on each run. */
 export function keyOf(workspace: string): string {
     return `sqx_${hashKey(`key of ${workspace}`).slice(0, 32)}`;
 }
 
-/** Puts a template, makes workspaces from it and grants each one a key. */
-export async function deploy(fleet: MemoryFleet, workspaces: readonly string[]): Promise<void> {
-    const by = (id: string) => ({ operator: "anna", changeId: id as ChangeId });
+/** Stores the template, creates workspaces from it and grants each one a key. */
+export async function deployWorkspaces(fleet: MemoryFleet, workspaces: readonly string[]): Promise<void> {
+    const makeOrigin = (id: string) => ({ operator: "anna", changeId: id as ChangeId });
     const name = "sheets" as TemplateName;
-    await fleet.change({ kind: "template.put", name, spec: SHEET_TEMPLATE, base: 0, ...by("template") });
+    await fleet.applyChange({
+        kind: "template.put",
+        name,
+        spec: SCENARIO_TEMPLATE,
+        base: 0,
+        ...makeOrigin("template"),
+    });
     for (const workspace of workspaces) {
         const id = workspace as WorkspaceId;
-        await fleet.change({ kind: "workspace.create", id, template: name, parameters: [], ...by(`create-${id}`) });
+        await fleet.applyChange({
+            kind: "workspace.create",
+            id,
+            template: name,
+            parameters: [],
+            ...makeOrigin(`create-${id}`),
+        });
         const key = keyOf(workspace);
         fleet.keyWatch.add(key);
-        await fleet.change({
+        await fleet.applyChange({
             kind: "key.grant",
             workspace: id,
             keyId: `${workspace}-key` as KeyId,
             hash: hashKey(key),
-            ...by(`grant-${id}`),
+            ...makeOrigin(`grant-${id}`),
         });
     }
 }
--- a/src/features/world/index.ts
+++ b/src/features/world/index.ts
@@ -1,19 +1,21 @@
 import { After, setDefaultTimeout, setWorldConstructor } from "@cucumber/cucumber";
 import { expectedAnswer } from "../../emulator/index.js";
-import { CallerResult, ChatCall, sendChat, sendService } from "./caller.js";
-import { deploy, keyOf } from "./deployment.js";
-import { CALLER_HOST, FleetLayout, MemoryFleet } from "./memoryFleet.js";
+import { CallerResult, ChatCall, sendChat, sendServiceCall } from "./caller.js";
+import { deployWorkspaces, keyOf } from "./deployment.js";
+import { CALLER_HOST, MemoryFleet, MemoryFleetLayout } from "./memoryFleet.js";
 
 /** A chat that a scenario has sent. */
 export interface SentChat {
     readonly workspace: string;
+    /** Length of the expected answer. */
     readonly tokens: number;
-    /** Virtual times at which text came, in milliseconds. */
+    /** Virtual times at which text arrived, in milliseconds. */
     readonly arrivals: number[];
+    /** The complete text that the engine must produce for the prompt. */
     readonly expected: string;
     readonly result: Promise<CallerResult>;
     readonly abort: AbortController;
-    /** What has come so far. */
+    /** The text received so far. */
     received: string;
 }
 
@@ -23,34 +25,34 @@
     readonly result: Promise<CallerResult>;
 }
 
-const LONG_MS = 300_000;
-const HUNG_STEP_MS = 600_000;
-const CHAT_EVERY_MS = 200;
-const MOST_CHATS = 1_000;
+const SETTLE_TIMEOUT_MS = 300_000;
+const STEP_TIMEOUT_MS = 600_000;
+const CHAT_INTERVAL_MS = 200;
+const MAX_CHATS = 1_000;
 
-/** What the steps of one scenario share. */
+/** State that the steps of one scenario share: a fleet in memory and the requests sent to it. */
 export class FleetWorld {
     fleet!: MemoryFleet;
     readonly chats: SentChat[] = [];
     readonly orders: SentOrder[] = [];
-    /** Whether each planned stop cut no work. */
-    readonly stops: boolean[] = [];
-    /** How long the last change took until it was in force everywhere, in milliseconds. */
+    /** For each planned stop, whether it interrupted no request. */
+    readonly stopResults: boolean[] = [];
+    /** Time until the last configuration change was in force everywhere, in milliseconds. */
     inForceMs = Number.NaN;
-    private nextPrompt = 1;
+    private nextPromptNumber = 1;
 
-    async startFleet(layout: Partial<FleetLayout>): Promise<void> {
+    async startFleet(layout: Partial<MemoryFleetLayout>): Promise<void> {
         this.fleet = new MemoryFleet(layout);
         await this.fleet.start();
     }
 
-    async deploy(workspaces: readonly string[]): Promise<void> {
-        await deploy(this.fleet, workspaces);
+    async deployWorkspaces(workspaces: readonly string[]): Promise<void> {
+        await deployWorkspaces(this.fleet, workspaces);
     }
 
-    /** Sends a chat whose answer has this many tokens; goes on without waiting for it. */
-    sendChat(workspace: string, tokens: number, entry: number, more: Partial<ChatCall> = {}): SentChat {
-        const prompt = `request ${this.nextPrompt++} of ${workspace} [tokens=${tokens}]`;
+    /** Sends a chat whose answer has `tokens` tokens, without waiting for it. `entry` counts from 1. */
+    sendChat(workspace: string, tokens: number, entry: number, overrides: Partial<ChatCall> = {}): SentChat {
+        const prompt = `request ${this.nextPromptNumber++} of ${workspace} [tokens=${tokens}]`;
         const abort = new AbortController();
         const chat: SentChat = {
             workspace,
@@ -68,18 +70,18 @@
                     chat.received = text;
                     chat.arrivals.push(this.fleet.clock.monotonic());
                 },
-                ...more,
+                ...overrides,
             }),
         };
         this.chats.push(chat);
         return chat;
     }
 
-    /** Sends an order that must not run twice; goes on without waiting for its answer. */
+    /** Sends an order, which must not run twice, without waiting for its response. `entry` counts from 1. */
     sendOrder(workspace: string, text: string, idempotencyKey: string | undefined, entry: number): SentOrder {
         const order: SentOrder = {
             text,
-            result: sendService(this.fleet.web.http(CALLER_HOST), this.fleet.entryAddress(entry - 1), {
+            result: sendServiceCall(this.fleet.web.http(CALLER_HOST), this.fleet.entryAddress(entry - 1), {
                 key: keyOf(workspace),
                 service: "orders",
                 path: "/book",
@@ -91,8 +93,8 @@
         return order;
     }
 
-    /** Sends chats to all entries in turn, of both workspaces. */
-    spreadChats(count: number, tokens: number): SentChat[] {
+    /** Sends chats of both workspaces to the running entries in turn. */
+    sendChatsRoundRobin(count: number, tokens: number): SentChat[] {
         const entries = this.fleet.entryNumbers().filter(number => this.fleet.entries[number]);
         return Array.from({ length: count }, (_, index) => {
             const workspace = index % 2 === 0 ? "hotel" : "depot";
@@ -100,16 +102,16 @@
         });
     }
 
-    /** Sends a chat every 200 ms to the entries that are ready, as a balancer does, until the work is done. */
+    /** Sends a chat every `CHAT_INTERVAL_MS` to the entries that are ready, as a load balancer does, until the work is done. */
     async sendChatsDuring<Value>(work: Promise<Value>): Promise<Value> {
         let done = false;
-        const mark = (): void => {
+        const markDone = (): void => {
             done = true;
         };
-        work.then(mark, mark);
-        for (let sent = 0; !done && sent < MOST_CHATS; sent++) {
+        work.then(markDone, markDone);
+        for (let sent = 0; !done && sent < MAX_CHATS; sent++) {
             this.sendToReadyEntry(sent);
-            await this.fleet.pass(CHAT_EVERY_MS);
+            await this.fleet.advance(CHAT_INTERVAL_MS);
         }
         return this.settle(work);
     }
@@ -123,9 +125,9 @@
         this.sendChat(turn % 2 === 0 ? "hotel" : "depot", 10 + turn % 20, ready[turn % ready.length] + 1);
     }
 
-    /** Lets virtual time pass until the work is done. */
+    /** Advances virtual time until the work is done. */
     settle<Value>(work: Promise<Value>): Promise<Value> {
-        return this.fleet.run(work, LONG_MS);
+        return this.fleet.run(work, SETTLE_TIMEOUT_MS);
     }
 
     chatResults(): Promise<CallerResult[]> {
@@ -138,10 +140,10 @@
 }
 
 setWorldConstructor(FleetWorld);
-// Steps end by virtual time. Wall time bounds only a step that hangs, so that a busy machine changes no verdict.
-setDefaultTimeout(HUNG_STEP_MS);
+// Steps are limited in virtual time. This wall-clock timeout only ends a step that hangs, so that a busy machine fails no scenario.
+setDefaultTimeout(STEP_TIMEOUT_MS);
 
 After(async function(this: FleetWorld) {
-    // A scenario with processes of its own has no fleet in memory.
+    // A scenario that starts operating-system processes has no fleet in memory.
     await (this.fleet as MemoryFleet | undefined)?.close();
 });
--- a/src/features/world/memoryFleet.ts
+++ b/src/features/world/memoryFleet.ts
@@ -24,25 +24,28 @@
 } from "../../purchase/index.js";
 import { ConfigChange } from "../../workspace/index.js";
 
-/** How a fleet in memory is laid out. */
-export interface FleetLayout {
+/** Options of a `MemoryFleet`. */
+export interface MemoryFleetLayout {
     readonly seed: number;
+    /** Number of entry processes. */
     readonly entries: number;
+    /** Number of control processes. */
     readonly controls: number;
     readonly emulator: Partial<EmulatorSettings>;
     readonly limits: Partial<EntryLimits>;
+    /** Length of a usage window. */
     readonly windowMs: number;
-    /** Undefined: nothing is bought or released. */
-    readonly purchases: PurchaseLayout | undefined;
+    /** Undefined when upstreams are neither bought nor released. */
+    readonly purchases: PurchaseOverrides | undefined;
 }
 
-/** How a fleet buys and releases upstreams, where it differs from the defaults. */
-export interface PurchaseLayout {
+/** Settings by which a fleet buys and releases upstreams, where they differ from the defaults. */
+export interface PurchaseOverrides {
     readonly cover: Partial<CoverSettings>;
     readonly forecast: Partial<ForecastSettings>;
 }
 
-const DEFAULT_LAYOUT: FleetLayout = {
+const DEFAULT_LAYOUT: MemoryFleetLayout = {
     seed: 1,
     entries: 2,
     controls: 3,
@@ -52,7 +55,7 @@
     purchases: undefined,
 };
 
-/** Short leases, so that a scenario needs few seconds of virtual time. */
+/** Log timing with short leases, so that a scenario needs few seconds of virtual time. */
 export const FLEET_LOG_TIMING: LogTiming = {
     ...DEFAULT_LOG_TIMING,
     heartbeatMs: 100,
@@ -61,20 +64,20 @@
 };
 export const FLEET_VIEW_LEASE_MS = 3_000;
 const PEER_TIMING = { heartbeatMs: 300, silenceMs: 1_200 };
-const START_LIMIT_MS = 30_000;
-const DRAIN_LIMIT_MS = 60_000;
+const START_TIMEOUT_MS = 30_000;
+const DRAIN_TIMEOUT_MS = 60_000;
 const PORTS = { control: 7001, callers: 8080, upstreams: 8090, peers: 7000, admin: 7100, platform: 9000 } as const;
-export const STAND_IN_HOST = "10.0.9.1";
+export const EMULATOR_HOST = "10.0.9.1";
 export const CALLER_HOST = "10.0.8.1";
 
-/** All processes of a deployment in one, under virtual time: what runs is the real code over in-memory ports. */
+/** All processes of a deployment in one process: the production code over in-memory ports, under virtual time. */
 export class MemoryFleet {
     readonly clock = new VirtualClock();
-    /** One-way latencies of links that are not as fast as all others, in milliseconds; by `from>to`. */
-    readonly slowLinks = new Map<string, number>();
+    /** One-way latencies in milliseconds of links that differ from the default of 1 ms, by `from>to`. */
+    readonly linkLatenciesMs = new Map<string, number>();
     readonly fabric = new MemoryFabric(
         this.clock,
-        (from, to) => from === to ? 0 : this.slowLinks.get(`${from}>${to}`) ?? 1,
+        (from, to) => from === to ? 0 : this.linkLatenciesMs.get(`${from}>${to}`) ?? 1,
     );
     readonly web = new MemoryWeb(this.fabric);
     readonly keyWatch = new KeyWatch();
@@ -82,29 +85,29 @@
     readonly entries: (EntryProcess | undefined)[] = [];
     readonly disks: MemoryDisk[] = [];
     readonly standIns: StandInSet;
-    readonly layout: FleetLayout;
+    readonly layout: MemoryFleetLayout;
     private readonly random: SeededRandom;
-    private starts = 0;
+    private startCount = 0;
 
-    constructor(layout: Partial<FleetLayout>) {
+    constructor(layout: Partial<MemoryFleetLayout>) {
         this.layout = { ...DEFAULT_LAYOUT, ...layout };
         this.random = new SeededRandom(this.layout.seed);
         const ports = {
             clock: this.clock,
             random: new SeededRandom(this.layout.seed + 1),
-            http: this.web.http(STAND_IN_HOST),
+            http: this.web.http(EMULATOR_HOST),
             keyWatch: this.keyWatch,
         };
         this.standIns = new StandInSet(ports, {
             ...DEFAULT_EMULATOR_SETTINGS,
-            host: STAND_IN_HOST,
+            host: EMULATOR_HOST,
             platformPort: PORTS.platform,
             entries: this.entryNumbers().map(number => ({ host: entryHost(number), port: PORTS.upstreams })),
             ...this.layout.emulator,
         });
     }
 
-    /** Starts everything and waits until it serves. */
+    /** Starts all processes and upstreams and waits until they serve. */
     async start(): Promise<void> {
         for (const number of this.controlNumbers()) {
             this.disks.push(new MemoryDisk(this.clock));
@@ -112,25 +115,25 @@
         }
         await this.run(this.standIns.startAll());
         await this.run(Promise.all(this.entryNumbers().map(number => this.startEntry(number))));
-        await this.pass(1_000);
+        await this.advance(1_000);
     }
 
-    /** Lets virtual time pass. */
-    pass(ms: number): Promise<void> {
+    /** Advances virtual time. */
+    advance(ms: number): Promise<void> {
         return this.clock.advance(ms);
     }
 
-    /** Lets virtual time pass until the work is done. */
-    run<Value>(work: Promise<Value>, limitMs = START_LIMIT_MS): Promise<Value> {
+    /** Advances virtual time until the work is done. */
+    run<Value>(work: Promise<Value>, limitMs = START_TIMEOUT_MS): Promise<Value> {
         return this.clock.runUntil(work, limitMs);
     }
 
     async startControl(number: number): Promise<void> {
         const host = controlHost(number);
         this.controls[number] = await ControlProcess.start({
-            ...this.portsOf(host),
+            ...this.makePorts(host),
             disk: this.disks[number],
-            self: this.identity(`control-${number}`),
+            self: this.makeIdentity(`control-${number}`),
             peers: { host, port: PORTS.control },
             members: this.controlNumbers().map(other => ({
                 host: `control-${other}` as HostId,
@@ -142,9 +145,9 @@
             windowMs: this.layout.windowMs,
             windowGraceMs: 2_000,
             platform: {
-                address: { host: STAND_IN_HOST, port: PORTS.platform },
+                address: { host: EMULATOR_HOST, port: PORTS.platform },
                 checksFence: this.layout.emulator.platformChecksFence ?? true,
-                purchasePolicy: this.makePolicy(host),
+                purchasePolicy: this.makePurchasePolicy(host),
                 purchasePeriodMs: 5_000,
             },
         });
@@ -153,9 +156,9 @@
     async startEntry(number: number): Promise<void> {
         const host = entryHost(number);
         this.entries[number] = await EntryProcess.start({
-            ...this.portsOf(host),
+            ...this.makePorts(host),
             metrics: new NoMetrics(),
-            self: this.identity(`entry-${number}`),
+            self: this.makeIdentity(`entry-${number}`),
             zone: "keflavik" as ZoneId,
             region: "sudurnes",
             callers: { host, port: PORTS.callers },
@@ -171,7 +174,7 @@
         });
     }
 
-    /** Ends an entry as SIGKILL does: its connections break, nothing is flushed. */
+    /** Kills an entry as SIGKILL does: its connections break and nothing is flushed. */
     async killEntry(number: number): Promise<void> {
         const entry = this.entries[number];
         this.entries[number] = undefined;
@@ -180,16 +183,16 @@
         await entry?.close();
     }
 
-    /** Stops an entry as planned; says whether no work was cut. */
+    /** Drains and stops an entry. Returns whether no request was interrupted. */
     async stopEntry(number: number): Promise<boolean> {
         const entry = this.entries[number]!;
-        const whole = await entry.drain(DRAIN_LIMIT_MS);
+        const isClean = await entry.drain(DRAIN_TIMEOUT_MS);
         this.entries[number] = undefined;
         await entry.close();
-        return whole;
+        return isClean;
     }
 
-    /** Ends a control process as a power cut does: unsynced bytes are lost. */
+    /** Kills a control process as a power cut does: unsynced bytes are lost. */
     async killControl(number: number): Promise<void> {
         const control = this.controls[number];
         this.controls[number] = undefined;
@@ -198,19 +201,19 @@
         await control?.close();
     }
 
-    /** Cuts a control host off from all others, both ways, or joins it again. */
+    /** Isolates a control host from all others in both directions, or reconnects it. */
     isolateControl(number: number, isolated: boolean): void {
         this.fabric.isolate(controlHost(number), this.allHosts(), isolated);
     }
 
-    /** Cuts an entry off from the control hosts only. */
+    /** Isolates an entry from the control hosts only, or reconnects it. */
     cutEntryFromControl(number: number, cut: boolean): void {
         const controls = this.controlNumbers().map(controlHost);
         this.fabric.isolate(entryHost(number), controls, cut);
     }
 
-    /** Makes all connections that are open between two groups of hosts silent for good; new ones work. */
-    forgetConnections(some: readonly string[], others: readonly string[]): void {
+    /** Permanently drops all traffic on the open connections between two groups of hosts; new connections work. */
+    blackholeConnections(some: readonly string[], others: readonly string[]): void {
         for (const a of some) {
             for (const b of others) {
                 if (a !== b) this.fabric.forget(a, b);
@@ -218,13 +221,13 @@
         }
     }
 
-    /** The number of the control process that holds the lease; -1 for none. */
+    /** Returns the number of the control process that holds the lease; -1 for none. */
     holder(): number {
         return this.controls.findIndex(control => control?.log.holdsLease());
     }
 
-    /** Makes a change of the configuration through the holder and waits until it is in force. */
-    async change(change: ConfigChange): Promise<unknown> {
+    /** Applies a configuration change through the holder and waits until it is in force. */
+    async applyChange(change: ConfigChange): Promise<unknown> {
         const control = this.controls[this.holder()];
         if (!control) throw new Error("no control process holds the lease");
         const result: Either<ProposeError, unknown> = await this.run(control.log.propose(change));
@@ -244,7 +247,7 @@
         return range(this.layout.controls);
     }
 
-    /** Ends everything, so that the test process can end. */
+    /** Closes all processes and upstreams, so that the test process can exit. */
     async close(): Promise<void> {
         const ends = [...this.entries, ...this.controls].map(process => process?.close());
         await this.run(Promise.all([...ends, this.standIns.close()]));
@@ -254,27 +257,27 @@
         return [
             ...this.controlNumbers().map(controlHost),
             ...this.entryNumbers().map(entryHost),
-            STAND_IN_HOST,
+            EMULATOR_HOST,
             CALLER_HOST,
         ];
     }
 
-    private makePolicy(host: string): PurchasePolicy {
+    private makePurchasePolicy(host: string): PurchasePolicy {
         const { purchases } = this.layout;
         if (!purchases) return new NoPurchases();
         return new CoverPolicy({
-            offers: new OfferReader(this.web.http(host), { host: STAND_IN_HOST, port: PORTS.platform }),
+            offers: new OfferReader(this.web.http(host), { host: EMULATOR_HOST, port: PORTS.platform }),
             decision: new CoverPurchase({ ...DEFAULT_COVER, ...purchases.cover }),
             forecast: { ...DEFAULT_FORECAST, ...purchases.forecast },
             logger: new SilentLogger(),
         });
     }
 
-    private identity(name: string): { host: HostId; incarnation: Incarnation; } {
-        return { host: name as HostId, incarnation: `${name}.${++this.starts}` as Incarnation };
+    private makeIdentity(name: string): { host: HostId; incarnation: Incarnation; } {
+        return { host: name as HostId, incarnation: `${name}.${++this.startCount}` as Incarnation };
     }
 
-    private portsOf(host: string) {
+    private makePorts(host: string) {
         return {
             clock: this.clock,
             random: new SeededRandom(this.random.integer(1, 1_000_000)),
--- a/src/features/world/mixedTrace.ts
+++ b/src/features/world/mixedTrace.ts
@@ -1,12 +1,13 @@
 import { Trace, TraceHeader, TraceRequest } from "../../load/index.js";
 
-/** The workspaces of a mixed trace. */
+/** The workspaces whose requests a mixed trace contains. */
 export const MIXED_WORKSPACES = ["hotel", "depot"] as const;
-/** The model and the service of the emulator's own settings. */
+/** The model that the emulator's default settings serve. */
 export const MIXED_MODEL = "draft";
+/** The service that the emulator's default settings serve. */
 const SERVICE = "orders";
-const CLASS = "summary";
-const TOKENS = 60;
+const CLASS_NAME = "summary";
+const TOKENS_PER_CHAT = 60;
 
 const HEADER: TraceHeader = {
     version: 1,
@@ -15,7 +16,7 @@
     models: [MIXED_MODEL],
     services: [SERVICE],
     classes: [{
-        name: CLASS,
+        name: CLASS_NAME,
         tier: 0,
         first_token_ms: 30_000,
         token_ms: 1_000,
@@ -27,19 +28,21 @@
     emulator: {},
 };
 
-/** How a mixed trace is made up. */
-export interface MixedPlan {
+/** Contents of a mixed trace. */
+export interface MixedTracePlan {
+    /** Number of chats. */
     readonly chats: number;
+    /** Number of orders. */
     readonly orders: number;
-    /** All are sent within this time, in milliseconds. */
+    /** Time over which the requests are spread, in milliseconds. */
     readonly withinMs: number;
 }
 
 /**
- * Makes a trace of chats and of orders that must not run twice, evenly over a time. Its targets are wide: it states what
- * becomes of requests, not how soon.
+ * Makes a trace of chats, and of orders that must not run twice, spread evenly over a time. Its latency targets are wide, because it
+ * tests the outcome of requests and not their latency.
  */
-export function makeMixedTrace({ chats, orders, withinMs }: MixedPlan): Trace {
+export function makeMixedTrace({ chats, orders, withinMs }: MixedTracePlan): Trace {
     const requests = [
         ...Array.from({ length: chats }, (_, index) => makeChat(index, index * withinMs / chats)),
         ...Array.from({ length: orders }, (_, index) => makeOrder(index, index * withinMs / orders)),
@@ -55,12 +58,12 @@
     return {
         at_ms,
         workspace: pickWorkspace(index),
-        class: CLASS,
+        class: CLASS_NAME,
         kind: "chat",
         model: MIXED_MODEL,
-        messages: [{ role: "user", content: `chat ${index} [tokens=${TOKENS}]` }],
-        max_tokens: TOKENS,
-        tokens: TOKENS,
+        messages: [{ role: "user", content: `chat ${index} [tokens=${TOKENS_PER_CHAT}]` }],
+        max_tokens: TOKENS_PER_CHAT,
+        tokens: TOKENS_PER_CHAT,
         stream: true,
     };
 }
@@ -69,7 +72,7 @@
     return {
         at_ms,
         workspace: pickWorkspace(index),
-        class: CLASS,
+        class: CLASS_NAME,
         kind: "service",
         service: SERVICE,
         path: "/book",
--- a/src/features/world/processRun.ts
+++ b/src/features/world/processRun.ts
@@ -15,42 +15,43 @@
 import { DEFAULT_PLAN, deployTrace, FleetPlan, ProcessFleet, waitFor } from "../../tools/index.js";
 import { hashKey } from "../../workspace/index.js";
 import { CallerResult, sendChat } from "./caller.js";
-import { makeMixedTrace, MIXED_MODEL, MIXED_WORKSPACES, MixedPlan } from "./mixedTrace.js";
+import { makeMixedTrace, MIXED_MODEL, MIXED_WORKSPACES, MixedTracePlan } from "./mixedTrace.js";
 
-/** The longest wait for anything: it ends a run that hangs, and is no bound on what is proved. */
-export const WAIT_MS = 60_000;
+/** Maximum wait for a condition. It ends a run that hangs, and is no latency target. */
+export const WAIT_TIMEOUT_MS = 60_000;
 const WINDOW_MS = 1_000;
 const WINDOW_GRACE_MS = 300;
 const OPERATOR = "anna";
 
-/** What the platform's stand-in counted of the usage reports. */
-export interface UsageFigures {
+/** Usage reports as the emulated platform counted them. */
+export interface UsageStats {
     readonly windows: number;
     readonly requests: number;
+    /** Report ids received again with different figures. */
     readonly conflicting: number;
     readonly doubledWindows: number;
     readonly reversals: number;
 }
 
 interface EmulatorStats {
-    readonly platform: { readonly usage: UsageFigures; };
+    readonly platform: { readonly usage: UsageStats; };
     readonly keys: { readonly watchedKeys: number; readonly credentialHeaders: number; };
 }
 
-/** A chat that streams over an entry. */
+/** A chat whose answer an entry is streaming. */
 export interface OpenStream {
     readonly expected: string;
     readonly result: Promise<CallerResult>;
     received: string;
 }
 
-/** One scenario's fleet of processes, and what was sent to it. */
+/** One scenario's fleet of operating-system processes, and the requests sent to it. */
 export class ProcessRun {
     readonly results: RequestResult[] = [];
     readonly streams: OpenStream[] = [];
-    /** Workspaces whose making and key were accepted, beside those of the trace. */
-    readonly accepted: string[] = [];
-    private replayed: Promise<RequestResult[]> | undefined;
+    /** Workspaces whose creation and key grant were acknowledged, in addition to those of the trace. */
+    readonly acceptedWorkspaces: string[] = [];
+    private replayResults: Promise<RequestResult[]> | undefined;
     private trace: Trace | undefined;
 
     private constructor(
@@ -60,7 +61,7 @@
         readonly keys: ReadonlyMap<string, string>,
     ) {}
 
-    /** Starts the processes and makes two workspaces. */
+    /** Starts the processes and creates the workspaces of the mixed trace. */
     static async start(plan: Partial<FleetPlan>): Promise<ProcessRun> {
         const fleet = await ProcessFleet.start({
             ...DEFAULT_PLAN,
@@ -82,12 +83,12 @@
         }
     }
 
-    /** Starts to send a mixed trace; `finish` waits for its end. */
-    replay(plan: MixedPlan): void {
+    /** Starts to replay a mixed trace; `finish` waits for its end. */
+    replay(plan: MixedTracePlan): void {
         const { ports, fleet, keys } = this;
         this.trace = makeMixedTrace(plan);
         const cfg = { ...DEFAULT_CALLER, addresses: fleet.callerAddresses, keys, speed: 1, resends: 10 };
-        this.replayed = replayTrace(
+        this.replayResults = replayTrace(
             ports,
             this.trace,
             { ...cfg, chatResends: "always" },
@@ -95,20 +96,20 @@
         );
     }
 
-    /** Waits until all requests of the trace have their last word. */
+    /** Waits until all requests of the trace have a final result. */
     async finish(): Promise<readonly RequestResult[]> {
-        assert.ok(this.replayed, "nothing was sent");
-        return this.replayed;
+        assert.ok(this.replayResults, "nothing was sent");
+        return this.replayResults;
     }
 
-    /** Holds what callers were told against what ran. */
-    async check(): Promise<CrossCheck> {
+    /** Compares the outcomes that callers received with the runs that the emulator recorded. */
+    async crossCheckRuns(): Promise<CrossCheck> {
         const results = await this.finish();
         const runs = new EmulatorClient(new NodeHttp(), this.fleet.emulatorAddress);
         return crossCheck(this.trace!, results, await runs.fetchRuns());
     }
 
-    /** Opens a stream over an entry, and waits for its first text. */
+    /** Starts a streamed chat over an entry, and waits for its first text. */
     async openStream(entry: number, tokens: number): Promise<void> {
         const prompt = `stream ${this.streams.length} [tokens=${tokens}]`;
         const stream: OpenStream = {
@@ -123,7 +124,7 @@
             }),
         };
         this.streams.push(stream);
-        await this.wait("the stream's first text", () => stream.received !== "");
+        await this.waitUntil("the stream's first text", () => stream.received !== "");
     }
 
     /** Sends a short chat to an entry with the key of the first workspace. */
@@ -132,33 +133,39 @@
         return sendChat(this.ports.http, this.fleet.callerAddresses[entry], { key, model: MIXED_MODEL, prompt: "one" });
     }
 
-    /** Makes workspaces one after the other, each with a key. */
-    async makeWorkspaces(count: number, onMade: (made: number) => void = () => undefined): Promise<void> {
-        for (let made = 1; made <= count; made++) {
-            const name = `more-${this.accepted.length}`;
-            const by = (what: string) => ({ operator: OPERATOR, changeId: `${what}-${name}` as ChangeId });
+    /** Creates workspaces one after the other, each with a key. `onCreated` receives the number created so far. */
+    async createWorkspaces(count: number, onCreated: (created: number) => void = () => undefined): Promise<void> {
+        for (let created = 1; created <= count; created++) {
+            const name = `more-${this.acceptedWorkspaces.length}`;
+            const makeOrigin = (what: string) => ({ operator: OPERATOR, changeId: `${what}-${name}` as ChangeId });
             const id = name as WorkspaceId;
             const template = "mixed" as TemplateName;
-            await this.change({ kind: "workspace.create", id, template, parameters: [], ...by("create") });
+            await this.applyChange({ kind: "workspace.create", id, template, parameters: [], ...makeOrigin("create") });
             const hash = hashKey(name);
-            await this.change({ kind: "key.grant", workspace: id, keyId: name as KeyId, hash, ...by("grant") });
-            this.accepted.push(name);
-            onMade(made);
+            await this.applyChange({
+                kind: "key.grant",
+                workspace: id,
+                keyId: name as KeyId,
+                hash,
+                ...makeOrigin("grant"),
+            });
+            this.acceptedWorkspaces.push(name);
+            onCreated(created);
         }
     }
 
     /** Withdraws the key of the first workspace. */
     async withdrawKey(): Promise<void> {
         const keyId = `${MIXED_WORKSPACES[0]}-1` as KeyId;
-        await this.change({ kind: "key.withdraw", keyId, operator: OPERATOR, changeId: "withdraw" as ChangeId });
+        await this.applyChange({ kind: "key.withdraw", keyId, operator: OPERATOR, changeId: "withdraw" as ChangeId });
     }
 
-    /** Which control process holds the lease, once one of them does. */
+    /** Waits until a control process other than `except` holds the lease, and returns its number. */
     async awaitHolder(except?: number): Promise<number> {
         const found = await waitFor(async () => {
             const holder = await this.fleet.findHolder();
             return holder === except ? undefined : holder;
-        }, WAIT_MS);
+        }, WAIT_TIMEOUT_MS);
         assert.ok(found !== undefined, "no control process holds the lease");
         return found;
     }
@@ -167,13 +174,13 @@
         return await this.fleet.emulatorStats() as EmulatorStats;
     }
 
-    /** Waits until something is so. */
-    async wait(what: string, look: () => boolean | Promise<boolean>): Promise<void> {
-        const found = await waitFor(async () => await look() ? true : undefined, WAIT_MS);
-        assert.ok(found, `waited in vain for ${what}`);
+    /** Waits until a condition holds. `what` names it in the error message. */
+    async waitUntil(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
+        const found = await waitFor(async () => await condition() ? true : undefined, WAIT_TIMEOUT_MS);
+        assert.ok(found, `timed out waiting for ${what}`);
     }
 
-    private async change(change: Parameters<OperatorApi["change"]>[0]): Promise<void> {
+    private async applyChange(change: Parameters<OperatorApi["change"]>[0]): Promise<void> {
         const { result } = await this.api.change(change);
         assert.equal(result.kind, "done", JSON.stringify(result));
     }
