--- a/src/faultInjection/recordingStateMachine/index.ts
+++ b/src/faultInjection/recordingStateMachine/index.ts
@@ -5,7 +5,7 @@
 export class InvariantError extends Error {}
 
 /** The command at each log index, as first applied by any replica. */
-export class AppliedHistory {
+export class History {
     private readonly commands = new Map<LogIndex, string>();
     private readonly indexes = new Map<string, LogIndex>();
 
@@ -38,7 +38,7 @@
      * @param history - Shared by all replicas of a run.
      * @param onError - Called with each violation; a check must not throw into the log that applies the command.
      */
-    constructor(private readonly history: AppliedHistory, private readonly onError: (err: unknown) => void) {
+    constructor(private readonly history: History, private readonly onError: (err: unknown) => void) {
         super();
     }
 
@@ -47,7 +47,7 @@
     }
 
     apply(command: unknown, { index }: ApplyContext): unknown {
-        this.runCheck(() => {
+        this.guard(() => {
             const last = this.applied.at(-1)?.[0] ?? 0;
             if (index <= last) throw new InvariantError(`index ${index} is applied after ${last}`);
             this.history.recordApplied(index, command as string);
@@ -62,14 +62,15 @@
 
     restore(snapshot: unknown): void {
         const restored = snapshot as AppliedCommand[];
-        this.runCheck(() => {
-            if (restored.length < this.applied.length) throw new InvariantError("a snapshot restored an older state");
+        this.guard(() => {
+            if (restored.length < this.applied.length) throw new InvariantError("a snapshot took the state back");
             for (const [index, command] of restored) this.history.recordApplied(index, command);
         });
         this.applied = [...restored];
     }
 
-    private runCheck(check: () => void): void {
+    /** Passes an error of a check to `onError` instead of throwing it. */
+    private guard(check: () => void): void {
         try {
             check();
         }
--- a/src/faultInjection/replicaFleet/index.ts
+++ b/src/faultInjection/replicaFleet/index.ts
@@ -11,7 +11,7 @@
     VirtualClock,
 } from "../../ports/index.js";
 import { DEFAULT_PEER_TIMING, PeerRouter, servePeers } from "../../wire/index.js";
-import { AppliedHistory, InvariantError, RecordingStateMachine } from "../recordingStateMachine/index.js";
+import { History, InvariantError, RecordingStateMachine } from "../recordingStateMachine/index.js";
 
 const PORT = 7000;
 /** Log timing with small segments and snapshot intervals, so that a short run rolls segments and sends snapshots. */
@@ -57,7 +57,7 @@
     readonly hosts = new Map<string, FleetHost>();
     /** Commands whose proposal succeeded. */
     readonly acked = new Set<string>();
-    private readonly history = new AppliedHistory();
+    private readonly history = new History();
     /** Host that held the lease, by fencing token. */
     private readonly holderByToken = new Map<number, string>();
     private readonly bootstrapMembers: readonly BootstrapMember[];
