--- a/src/bench/policy/policySet/index.ts
+++ b/src/bench/policy/policySet/index.ts
@@ -10,10 +10,10 @@
 import { PoolId, ZoneId } from "../../../ids/index.js";
 import { CoverPurchase, DEFAULT_COVER, PurchasePolicy, StaticPurchase } from "../../../purchase/index.js";
 import {
-    LeastOutstandingChoice,
+    LeastOutstandingPolicy,
     NoStragglerPolicy,
-    RoundRobinChoice,
-    TwoRandomChoices,
+    RoundRobinPolicy,
+    TwoRandomChoicesPolicy,
 } from "../../../upstream/index.js";
 import { Deployment } from "../deployment/index.js";
 
@@ -72,7 +72,10 @@
         ...SEQUOIAMUX,
         name: "local-two-choices",
         queues: "local",
-        dispatch: { ...DEFAULT_POLICIES, createChoice: dependencies => new TwoRandomChoices(dependencies.random) },
+        dispatch: {
+            ...DEFAULT_POLICIES,
+            createChoice: dependencies => new TwoRandomChoicesPolicy(dependencies.random),
+        },
     },
     SEQUOIAMUX,
 ];
@@ -104,12 +107,12 @@
     {
         ...SEQUOIAMUX,
         name: "round-robin",
-        dispatch: { ...DEFAULT_POLICIES, createChoice: () => new RoundRobinChoice() },
+        dispatch: { ...DEFAULT_POLICIES, createChoice: () => new RoundRobinPolicy() },
     },
     {
         ...SEQUOIAMUX,
         name: "least-outstanding",
-        dispatch: { ...DEFAULT_POLICIES, createChoice: () => new LeastOutstandingChoice() },
+        dispatch: { ...DEFAULT_POLICIES, createChoice: () => new LeastOutstandingPolicy() },
     },
     { ...SEQUOIAMUX, name: "local", queues: "local" },
     { ...SEQUOIAMUX, name: "no-resume", resumesAnswers: false },
--- a/src/bench/policy/speed/main.ts
+++ b/src/bench/policy/speed/main.ts
@@ -3,10 +3,10 @@
 import { ClassName, HostId, PoolId, RequestId, UpstreamId, WorkspaceId, ZoneId } from "../../../ids/index.js";
 import { SeededRandom, SystemClock, VirtualClock } from "../../../ports/index.js";
 import {
-    ChoiceRequest,
+    FirstTokenPolicy,
     makeAnnouncement,
     pickExhaustively,
-    RoutedChoice,
+    SelectionRequest,
     Upstream,
     UpstreamLoad,
     UpstreamRegistry,
@@ -36,8 +36,8 @@
 
 /** Compares the time of one choice among engines with that of a choice that evaluates every engine in full. */
 function measureRoutedChoice({ engines, streams }: typeof ROUTED_SIZES[number]): string {
-    const chosenMs = timeRoutedChoice(new RoutedChoice(() => undefined), engines, streams);
-    const exhaustive = new RoutedChoice(() => undefined, undefined, pickExhaustively);
+    const chosenMs = timeRoutedChoice(new FirstTokenPolicy(() => undefined), engines, streams);
+    const exhaustive = new FirstTokenPolicy(() => undefined, undefined, pickExhaustively);
     const exhaustiveMs = timeRoutedChoice(exhaustive, engines, streams);
     return `${engines} engines with ${streams} streams each: choice ${
         formatMicroseconds(chosenMs)
@@ -45,7 +45,7 @@
         + `${formatMicroseconds(exhaustiveMs)}, ${(exhaustiveMs / chosenMs).toFixed(1)} times as much`;
 }
 
-function timeRoutedChoice(choice: RoutedChoice, engines: number, streams: number): number {
+function timeRoutedChoice(choice: FirstTokenPolicy, engines: number, streams: number): number {
     const random = new SeededRandom(1);
     const loads = Array.from(
         { length: engines },
@@ -56,7 +56,7 @@
         for (let index = 0; index < count; index++) {
             const now = nextNumber * 3;
             const parts = [{ id: `s${random.integer(0, 40)}`, tokens: 6_000 }, { id: `o${nextNumber}`, tokens: 1_000 }];
-            const request: ChoiceRequest = {
+            const request: SelectionRequest = {
                 request: `r${nextNumber++}` as RequestId,
                 pool: "draft" as PoolId,
                 prefixes: [],
--- a/src/cli/runCli/test.ts
+++ b/src/cli/runCli/test.ts
@@ -26,9 +26,9 @@
     SystemRandom,
 } from "../../ports/index.js";
 import { QuarantineTable } from "../../quarantine/index.js";
-import { HeldDocument, ReplaceDocumentCommand } from "../../routing/index.js";
+import { ReplaceDocumentCommand, StoredDocument } from "../../routing/index.js";
 import { PeerRouter } from "../../wire/index.js";
-import { ZoneBook, ZoneCommand } from "../../zone/index.js";
+import { EvacuationTable, ZoneCommand } from "../../zone/index.js";
 import { runCli } from "./index.js";
 
 const LOOPBACK: Address = { host: "127.0.0.1", port: 0 };
@@ -45,7 +45,7 @@
 
 /** Keeps the last document, without comparing versions. */
 class FakeDocumentService {
-    private held: HeldDocument | undefined;
+    private held: StoredDocument | undefined;
 
     async replace({ document, source }: ReplaceDocumentCommand) {
         const revision = 9 as Revision;
@@ -60,7 +60,7 @@
 
 /** Applies evacuations in the order in which they arrive; only the zone `vogar` exists. */
 class FakeZoneEvacuation {
-    private readonly evacuations = new ZoneBook();
+    private readonly evacuations = new EvacuationTable();
     private revision = 30;
 
     async order(command: ZoneCommand) {
--- a/src/control/controlState/index.ts
+++ b/src/control/controlState/index.ts
@@ -9,7 +9,7 @@
     QuarantineSnapshot,
     QuarantineTable,
 } from "../../quarantine/index.js";
-import { DocumentBook, HeldDocument, ReplaceDocumentCommand, ReplaceDocumentResult } from "../../routing/index.js";
+import { DocumentStore, ReplaceDocumentCommand, ReplaceDocumentResult, StoredDocument } from "../../routing/index.js";
 import {
     CloseStartsCommand,
     CloseWindowCommand,
@@ -27,7 +27,7 @@
     UsageSnapshot,
 } from "../../usage/index.js";
 import { ChangeOutcome, ConfigChange, RegistrySnapshot, WorkspaceRegistry } from "../../workspace/index.js";
-import { ZoneBook, ZoneCommand, ZoneResult, ZoneSnapshot } from "../../zone/index.js";
+import { EvacuationTable, ZoneCommand, ZoneResult, ZoneSnapshot } from "../../zone/index.js";
 import { AnnounceHolderCommand, ControlAddress, ControlDirectory } from "../controlDirectory/index.js";
 import { EntryCommand } from "../entryCommand/index.js";
 import { ViewChange } from "../view/index.js";
@@ -78,7 +78,7 @@
     /** Missing in snapshots of older versions. */
     readonly directory?: readonly ControlAddress[];
     /** Missing while there is no document, and in snapshots of older versions. */
-    readonly document?: HeldDocument;
+    readonly document?: StoredDocument;
     /** Missing in snapshots of older versions. */
     readonly starts?: StartsSnapshot;
     /** Missing in snapshots of older versions. */
@@ -103,11 +103,11 @@
     readonly spend = new SpendBook();
     readonly orders = new OrderBook();
     readonly directory = new ControlDirectory();
-    readonly documents = new DocumentBook();
+    readonly documents = new DocumentStore();
     readonly starts = new StartsBook();
     /** Recorded counts of request starts in windows that are not closed. */
     readonly openStarts = new RunStarts();
-    readonly zones = new ZoneBook();
+    readonly zones = new EvacuationTable();
     /** Quarantined requests, which have crashed upstreams. */
     readonly quarantine = new QuarantineTable();
     private readonly history = new ViewHistory();
@@ -135,7 +135,7 @@
         const { registry, documents, zones, quarantine } = this;
         const change = this.history.changeSince(Math.min(revision, registry.revision), registry);
         const isNewDocument = documents.revision > revision;
-        const document = isNewDocument ? { document: documents.held!.document } : {};
+        const document = isNewDocument ? { document: documents.current!.document } : {};
         const evacuated = zones.revision > revision ? { evacuatedZones: zones.list().map(({ zone }) => zone) } : {};
         const quarantined = quarantine.revision > revision ? { quarantined: quarantine.list() } : {};
         return { ...change, ...document, ...evacuated, ...quarantined, revision: this.revision };
--- a/src/control/documentService/index.ts
+++ b/src/control/documentService/index.ts
@@ -1,7 +1,7 @@
 import { Either } from "purify-ts";
 import { ReplicatedLog } from "../../consensus/index.js";
 import { Logger } from "../../logging/index.js";
-import { HeldDocument, ReplaceDocumentCommand, ReplaceDocumentResult } from "../../routing/index.js";
+import { ReplaceDocumentCommand, ReplaceDocumentResult, StoredDocument } from "../../routing/index.js";
 import { readThroughLog } from "../_lib/readThroughLog.js";
 import { ControlState } from "../controlState/index.js";
 import { DurableChange, DurableChangeOptions } from "../durableChange/index.js";
@@ -55,15 +55,15 @@
      *
      * @returns The document, or undefined when there is none yet; an error when this process can't confirm which one is the latest.
      */
-    async read(): Promise<Either<DocumentUnavailableError, HeldDocument | undefined>> {
+    async read(): Promise<Either<DocumentUnavailableError, StoredDocument | undefined>> {
         const { log, state } = this.options;
-        const read = await readThroughLog(log, () => state.documents.held);
+        const read = await readThroughLog(log, () => state.documents.current);
         return read.mapLeft(err => new DocumentUnavailableError(err.message));
     }
 
     /** A document that is already in force or outdated needs no log entry. */
     private findSuperseding({ document }: ReplaceDocumentCommand): ReplaceDocumentResult | undefined {
-        const { held } = this.options.state.documents;
+        const { current: held } = this.options.state.documents;
         if (!held || held.document.version < document.version) return undefined;
         return { state: "superseded", revision: held.revision };
     }
--- a/src/control/entryCommand/index.ts
+++ b/src/control/entryCommand/index.ts
@@ -1,5 +1,5 @@
 import { AbandonCallsCommand, BeginCallCommand, FinishCallCommand } from "../../ledger/index.js";
-import { NoteCrashesCommand } from "../../quarantine/index.js";
+import { RecordCrashesCommand } from "../../quarantine/index.js";
 import { ReserveCommand, UsageBatchCommand } from "../../usage/index.js";
 
 /** Peer method by which entries send commands to the holder; the body is an `EntryCommand`. */
@@ -18,4 +18,4 @@
     | AbandonCallsCommand
     | UsageBatchCommand
     | ReserveCommand
-    | NoteCrashesCommand;
+    | RecordCrashesCommand;
--- a/src/control/poolSizer/index.ts
+++ b/src/control/poolSizer/index.ts
@@ -106,7 +106,7 @@
         this.updateNeeds();
         const isObserving = this.options.clock.monotonic() - this.termStartedAt < OBSERVATION_MS;
         if (isObserving && term.token !== FIRST_TOKEN) return STEP_INTERVAL_MS;
-        for (const { pool, scaling } of state.documents.held?.document.pools ?? []) {
+        for (const { pool, scaling } of state.documents.current?.document.pools ?? []) {
             if (!scaling) continue;
             const orders = this.planPool(pool, scaling);
             for (const due of isObserving ? orders.filter(order => this.onlyAddsCapacity(order)) : orders) {
@@ -146,7 +146,7 @@
     private updateNeeds(): void {
         const now = this.options.clock.monotonic();
         const isObserving = now - this.termStartedAt < OBSERVATION_MS;
-        for (const { pool, scaling } of this.options.state.documents.held?.document.pools ?? []) {
+        for (const { pool, scaling } of this.options.state.documents.current?.document.pools ?? []) {
             if (!scaling) continue;
             const currentNeed = isObserving ? this.countNeedForCurrentSize(pool, scaling) : 0;
             const count = Math.max(currentNeed, Math.ceil(this.findPrefillLoad(pool) / PREFILL_SHARE));
--- a/src/discovery/announcementPublisher/index.ts
+++ b/src/discovery/announcementPublisher/index.ts
@@ -1,7 +1,7 @@
 import { UpstreamId } from "../../ids/index.js";
 import { Clock } from "../../ports/index.js";
 import { Announcement, LoadReport } from "../../protocol/index.js";
-import { SpreadRecord, SpreadScope, UpstreamRegistry } from "../../upstream/index.js";
+import { AnnouncementRecord, ChangeScope, UpstreamRegistry } from "../../upstream/index.js";
 import { EncodedBody, PeerChannel, PeerRouter } from "../../wire/index.js";
 import {
     AnnouncementUpdate,
@@ -22,7 +22,7 @@
 const NO_LOAD: LoadReport = { running: 0, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
 
 /** Scope of the registry's changes that subscribers of each level get. */
-const SCOPE_BY_LEVEL: Readonly<Record<UpdateLevel, SpreadScope>> = { membership: "membership", all: "heard" };
+const SCOPE_BY_LEVEL: Readonly<Record<UpdateLevel, ChangeScope>> = { membership: "membership", all: "heard" };
 
 /** Options of `AnnouncementPublisher`. */
 export interface AnnouncementPublisherOptions {
@@ -116,7 +116,7 @@
 
     private sendToLevel(
         level: UpdateLevel,
-        records: readonly SpreadRecord[],
+        records: readonly AnnouncementRecord[],
         expired: readonly ExpiredUpstream[],
     ): void {
         const now = this.options.clock.monotonic();
@@ -134,7 +134,7 @@
         }
     }
 
-    private updateReported({ announcement, relayed }: SpreadRecord): void {
+    private updateReported({ announcement, relayed }: AnnouncementRecord): void {
         const id = announcement.id as UpstreamId;
         if (announcement.state === "ready" && !relayed) this.reportedReady.add(id);
         else if (announcement.state !== "ready") this.reportedReady.delete(id);
@@ -155,7 +155,7 @@
 }
 
 /** Removes what a level leaves out of a record. */
-function trimRecord(record: SpreadRecord, level: UpdateLevel): SpreadRecord {
+function trimRecord(record: AnnouncementRecord, level: UpdateLevel): AnnouncementRecord {
     if (level === "all") return record;
     return { ...record, announcement: { ...record.announcement, load: NO_LOAD, cache: undefined } };
 }
--- a/src/discovery/announcementSubscriber/index.ts
+++ b/src/discovery/announcementSubscriber/index.ts
@@ -1,7 +1,7 @@
 import { HostId, UpstreamId } from "../../ids/index.js";
 import { Logger } from "../../logging/index.js";
 import { Clock } from "../../ports/index.js";
-import { SpreadRecord, UpstreamRegistry } from "../../upstream/index.js";
+import { AnnouncementRecord, UpstreamRegistry } from "../../upstream/index.js";
 import { PeerChannel, PeerRouter } from "../../wire/index.js";
 import {
     AnnouncementUpdate,
@@ -115,7 +115,7 @@
         if (channel.peer) onWallTime(channel.peer.host, wallMs);
     }
 
-    private updateSource({ announcement, relayed }: SpreadRecord, channel: PeerChannel): void {
+    private updateSource({ announcement, relayed }: AnnouncementRecord, channel: PeerChannel): void {
         const id = announcement.id as UpstreamId;
         if (announcement.state !== "ready") this.sources.delete(id);
         else if (!relayed) this.sources.set(id, { channel, unreachableSince: undefined });
--- a/src/discovery/announcementUpdate/index.ts
+++ b/src/discovery/announcementUpdate/index.ts
@@ -1,5 +1,5 @@
 import { UpstreamId } from "../../ids/index.js";
-import { SpreadRecord } from "../../upstream/index.js";
+import { AnnouncementRecord } from "../../upstream/index.js";
 
 /**
  * Subscribes to a publisher: the reply has its whole state, and updates follow over the same channel. A further call on the
@@ -35,7 +35,7 @@
  */
 export interface AnnouncementUpdate {
     /** New or changed announcements. */
-    readonly records: readonly SpreadRecord[];
+    readonly records: readonly AnnouncementRecord[];
     /** Upstreams that the publisher no longer confirms. */
     readonly lapsed?: readonly ExpiredUpstream[];
     /** The publisher's wall time at sending, in milliseconds since the epoch. */
--- a/src/dispatch/_lib/makeGrant.ts
+++ b/src/dispatch/_lib/makeGrant.ts
@@ -16,7 +16,7 @@
         priority: ticket.tier,
         waitedMs: now - arrivedAt,
         reason: limit ? `${reason}, limited to ${limit.perSecond} a second` : reason,
-        ...(limit ? { limit: { perSecond: limit.perSecond, ageMs: now - limit.saidAt } } : {}),
+        ...(limit ? { limit: { perSecond: limit.perSecond, ageMs: now - limit.answeredAt } } : {}),
         ...(fetch ? { fetchFrom: fetch.from.upstream.address } : {}),
     };
 }
--- a/src/dispatch/dispatchPolicies/index.ts
+++ b/src/dispatch/dispatchPolicies/index.ts
@@ -1,13 +1,13 @@
 import { Random } from "../../ports/index.js";
 import {
-    ExpectedTimeChoice,
+    ExpectedTimePolicy,
+    FirstTokenPolicy,
     MedianStragglerPolicy,
     NoStragglerPolicy,
     PrefixIndex,
-    RoundRobinChoice,
-    RoutedChoice,
+    RoundRobinPolicy,
+    SelectionPolicy,
     StragglerPolicy,
-    UpstreamChoice,
 } from "../../upstream/index.js";
 import { AcceptAllAdmission, AdmissionPolicy, DeadlineAdmission } from "../admissionPolicy/index.js";
 import { FifoOrder, OrderPolicy, TierFairOrder } from "../order/index.js";
@@ -27,7 +27,7 @@
     readonly createAdmission: () => AdmissionPolicy;
     readonly createPreemption: () => PreemptionPolicy;
     readonly createStragglers: () => StragglerPolicy;
-    readonly createChoice: (dependencies: ChoiceDependencies) => UpstreamChoice;
+    readonly createChoice: (dependencies: ChoiceDependencies) => SelectionPolicy;
 }
 
 /** The default policies of production. */
@@ -36,7 +36,7 @@
     createAdmission: () => new DeadlineAdmission(),
     createPreemption: () => new TierPreemption(),
     createStragglers: () => new MedianStragglerPolicy(),
-    createChoice: dependencies => new ExpectedTimeChoice(dependencies.prefixes),
+    createChoice: dependencies => new ExpectedTimePolicy(dependencies.prefixes),
 };
 
 /**
@@ -48,7 +48,7 @@
     createAdmission: () => new AcceptAllAdmission(),
     createPreemption: () => new NoPreemption(),
     createStragglers: () => new NoStragglerPolicy(),
-    createChoice: ({ capacity }) => new RoutedChoice(capacity),
+    createChoice: ({ capacity }) => new FirstTokenPolicy(capacity),
 };
 
 /** The simplest policy of each kind, as a baseline for comparisons. */
@@ -57,5 +57,5 @@
     createAdmission: () => new AcceptAllAdmission(),
     createPreemption: () => new NoPreemption(),
     createStragglers: () => new NoStragglerPolicy(),
-    createChoice: () => new RoundRobinChoice(),
+    createChoice: () => new RoundRobinPolicy(),
 };
--- a/src/dispatch/localDispatcher/index.ts
+++ b/src/dispatch/localDispatcher/index.ts
@@ -174,7 +174,7 @@
             random,
             pool,
             zone,
-            members: new PoolMembers({ clock, registry, pool, coldRate, limitShare }),
+            members: new PoolMembers({ clock, registry, pool, coldRequestsPerS: coldRate, limitShare }),
             prefixes: this.prefixes,
             lengths: this.lengths,
             policies: this.options.policies ?? DEFAULT_POLICIES,
--- a/src/dispatch/poolQueue/index.ts
+++ b/src/dispatch/poolQueue/index.ts
@@ -1,7 +1,7 @@
 import PQueue from "p-queue";
 import { Either, Left, Right } from "purify-ts";
 import { HostId, RequestId, UpstreamId } from "../../ids/index.js";
-import { Choice, PromptPart, StragglerPolicy, Upstream, UpstreamChoice } from "../../upstream/index.js";
+import { Choice, PromptPart, SelectionPolicy, StragglerPolicy, Upstream } from "../../upstream/index.js";
 import { makeGrant } from "../_lib/makeGrant.js";
 import { PendingDecisions } from "../_lib/waiters.js";
 import { AdmissionControl, makeRefusal } from "../admissionControl/index.js";
@@ -45,7 +45,7 @@
     private readonly admission: AdmissionControl;
     private readonly preempter: Preempter;
     private readonly stragglers: StragglerPolicy;
-    private readonly choice: UpstreamChoice;
+    private readonly choice: SelectionPolicy;
     private readonly picker: UpstreamPicker;
     private readonly tickets: TicketQueue;
     private readonly queue: PQueue<TicketQueue, TicketQueueOptions>;
@@ -81,7 +81,7 @@
         const queueClass = function(): TicketQueue {
             return tickets;
         } as unknown as new() => TicketQueue;
-        options.members.useServiceTime(() => this.forecast.meanServiceMs);
+        options.members.setServiceTime(() => this.forecast.meanServiceMs);
         this.queue = new PQueue<TicketQueue, TicketQueueOptions>({ queueClass, autoStart: false });
         this.updateConcurrency();
     }
@@ -159,7 +159,7 @@
         const now = this.options.clock.monotonic();
         this.choice.progressed(request, running.tokens === 0, now);
         const tokenMs = recordTokens(running, tokens, now);
-        if (tokenMs !== undefined) running.load.learnPace(tokenMs);
+        if (tokenMs !== undefined) running.load.recordTokenMs(tokenMs);
     }
 
     /**
@@ -210,12 +210,12 @@
      * tracked.
      */
     prefillLoad(): number | undefined {
-        return this.choice.readingLoad(this.options.clock.monotonic());
+        return this.choice.prefillLoad(this.options.clock.monotonic());
     }
 
     /** Records parts of prompts that an upstream reports to have cached. */
     recordHeldParts(upstream: UpstreamId, parts: readonly PromptPart[]): void {
-        this.choice.learnHeld(upstream, parts, this.options.clock.monotonic());
+        this.choice.recordHeldParts(upstream, parts, this.options.clock.monotonic());
     }
 
     /** Implements `Dispatcher.noteLimit` for this pool. */
@@ -224,7 +224,7 @@
         const load = members.get(upstream);
         if (!load) return;
         const now = clock.monotonic();
-        load.learnLimit(perSecond, now - ageMs, now);
+        load.updateLimit(perSecond, now - ageMs, now);
         members.refresh(load);
         this.updateConcurrency();
     }
@@ -354,7 +354,7 @@
         if (completion.outcome === "refused") load.markBusy(now);
         if (completion.outcome !== "answered") return;
         load.markHealthy();
-        if (completion.tokenMs !== undefined) load.learnPace(completion.tokenMs);
+        if (completion.tokenMs !== undefined) load.recordTokenMs(completion.tokenMs);
         this.forecast.recordCompletion(completion, now - running.grantedAt, cost);
         if (waiting.ticket.resumeOffset === 0) {
             this.options.lengths.record(waiting.ticket, completion.completionTokens);
--- a/src/dispatch/upstreamPicker/index.ts
+++ b/src/dispatch/upstreamPicker/index.ts
@@ -1,6 +1,13 @@
 import { PoolId, UpstreamId, ZoneId } from "../../ids/index.js";
 import { Random } from "../../ports/index.js";
-import { Choice, ChoiceRequest, PoolMembers, PrefixIndex, UpstreamChoice, UpstreamLoad } from "../../upstream/index.js";
+import {
+    Choice,
+    PoolMembers,
+    PrefixIndex,
+    SelectionPolicy,
+    SelectionRequest,
+    UpstreamLoad,
+} from "../../upstream/index.js";
 import { Ticket } from "../ticket/index.js";
 import { WaitingTicket } from "../waitingTicket/index.js";
 
@@ -12,7 +19,7 @@
     readonly members: PoolMembers;
     readonly prefixes: PrefixIndex;
     readonly random: Random;
-    readonly choice: UpstreamChoice;
+    readonly choice: SelectionPolicy;
 }
 
 /** Finds the candidates for a ticket and lets the choice policy pick one. */
@@ -38,7 +45,7 @@
      *
      * @param now - Monotonic time, in milliseconds.
      */
-    toChoiceRequest({ ticket, predictedTokens }: WaitingTicket, now: number): ChoiceRequest {
+    toChoiceRequest({ ticket, predictedTokens }: WaitingTicket, now: number): SelectionRequest {
         const { pool, zone, members } = this.options;
         const { request, prefixes, promptTokens, gapMs, parts = [], bodyBytes = 0 } = ticket;
         const targetMs = ticket.firstTokenMs;
@@ -67,7 +74,7 @@
      */
     private findCandidates(ticket: Ticket): readonly UpstreamLoad[] {
         const { members, prefixes, random, choice } = this.options;
-        const sample = members.candidates(choice.mostCandidates, random);
+        const sample = members.candidates(choice.maxCandidates, random);
         const holders = prefixes.likelyHolders(ticket.prefixes);
         if (holders.length === 0) return sample;
         const candidates = new Set(sample);
--- a/src/entry/announcementForwarder/index.ts
+++ b/src/entry/announcementForwarder/index.ts
@@ -1,7 +1,7 @@
 import { PoolOwnerTable } from "../../dispatch/index.js";
 import { HostId, PoolId } from "../../ids/index.js";
 import { Announcement } from "../../protocol/index.js";
-import { SpreadRecord, UpstreamRegistry } from "../../upstream/index.js";
+import { AnnouncementRecord, UpstreamRegistry } from "../../upstream/index.js";
 import { PeerRouter } from "../../wire/index.js";
 import { PeerDirectory } from "../peerDirectory/index.js";
 
@@ -25,14 +25,14 @@
     /** Registers the method that accepts announcements forwarded by other entries. */
     addTo(router: PeerRouter): void {
         router.add(SPREAD_METHOD, body => {
-            this.registry.merge(body as SpreadRecord[]);
+            this.registry.merge(body as AnnouncementRecord[]);
         });
     }
 
     /** Applies an announcement received from the upstream itself, and forwards it if the registry accepts it. */
     accept(announcement: Announcement): void {
         if (!this.registry.announce(announcement)) return;
-        const records: SpreadRecord[] = [{ announcement, ageMs: 0 }];
+        const records: AnnouncementRecord[] = [{ announcement, ageMs: 0 }];
         for (const host of this.listTargets(announcement)) {
             if (host !== this.self) this.directory.linkTo(host)?.notify(SPREAD_METHOD, records);
         }
--- a/src/entry/callRecord/index.ts
+++ b/src/entry/callRecord/index.ts
@@ -117,7 +117,7 @@
         if (result.state === "answered") return Right({ kind: "answered", answer: result.answer });
         if (result.state !== "running") return Left(joinError(result.state));
         if (run.ageMs() >= maxWaitMs || run.isCancelled) return Left(stillRunningError());
-        run.note("joined", `${result.request} on ${result.host}`);
+        run.recordStep("joined", `${result.request} on ${result.host}`);
         await ctx.clock.sleep(JOIN_POLL_MS);
     }
 }
--- a/src/entry/crashMonitor/index.ts
+++ b/src/entry/crashMonitor/index.ts
@@ -84,11 +84,11 @@
         return leftMs > 0 ? leftMs : undefined;
     }
 
-    noteServed(fingerprint: RequestFingerprint): void {
-        this.served.note(fingerprint);
+    recordServed(fingerprint: RequestFingerprint): void {
+        this.served.record(fingerprint);
     }
 
-    noteConnectionEnded(fingerprint: RequestFingerprint, upstream: UpstreamId, address: Address): void {
+    recordConnectionEnd(fingerprint: RequestFingerprint, upstream: UpstreamId, address: Address): void {
         if (this.served.isRecent(fingerprint)) return;
         const announcement = this.options.registry.get(upstream)?.announcement;
         const isExpectedToEnd = announcement?.state === "gone" || announcement?.reclaim_in_ms !== undefined;
--- a/src/entry/crashMonitor/test.ts
+++ b/src/entry/crashMonitor/test.ts
@@ -47,7 +47,7 @@
     }
 
     function endConnection(monitor: CrashMonitor, upstream: string, fingerprint: string = REQUEST): void {
-        monitor.noteConnectionEnded(fingerprint as RequestFingerprint, upstream as UpstreamId, ADDRESS);
+        monitor.recordConnectionEnd(fingerprint as RequestFingerprint, upstream as UpstreamId, ADDRESS);
     }
 
     it("reports all calls that were running on an upstream in one report", async () => {
--- a/src/entry/entryProcess/index.ts
+++ b/src/entry/entryProcess/index.ts
@@ -230,7 +230,7 @@
         void this.routes?.stopAccepting();
         const limit = new AbortController();
         const timer = clock.after(graceMs, () => limit.abort());
-        await Promise.race([this.requests.idle(), clock.sleep(graceMs, limit.signal)]);
+        await Promise.race([this.requests.whenIdle(), clock.sleep(graceMs, limit.signal)]);
         while (this.meter.backlog > 0 && !limit.signal.aborted) await clock.sleep(BACKLOG_POLL_MS);
         timer.cancel();
         this.routes?.flushStarts();
--- a/src/entry/processAdmin/index.ts
+++ b/src/entry/processAdmin/index.ts
@@ -93,7 +93,7 @@
         tokensPerSecond: announcement.load.tokens_per_second,
         reclaimable: announcement.reclaimable,
         pricePerHour: announcement.price_per_hour,
-        heardMsAgo: Math.round(now - upstream.heardAt),
+        heardMsAgo: Math.round(now - upstream.announcedAt),
         note: announcement.reclaim_in_ms === undefined ? undefined : "the platform takes it back",
     };
 }
--- a/src/entry/requestLimitExchange/index.ts
+++ b/src/entry/requestLimitExchange/index.ts
@@ -64,7 +64,7 @@
     /** @returns Whether the limit is a change. */
     private record(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs: number): boolean {
         const { logger, metrics } = this.options;
-        const change = this.limits.note(pool, upstream, perSecond, ageMs);
+        const change = this.limits.record(pool, upstream, perSecond, ageMs);
         if (!change) return false;
         logger.info("request-limit", { upstream, pool, change, perSecond, ageMs: Math.round(ageMs) });
         metrics.gauge("upstreams_limited", this.limits.size);
--- a/src/entry/runChat/index.ts
+++ b/src/entry/runChat/index.ts
@@ -65,7 +65,7 @@
 
     private async attempt(grant: Grant): Promise<ChatAttempt> {
         const { ctx, prepared, run, sink } = this.options;
-        run.noteGrant(grant);
+        run.recordGrant(grant);
         ctx.metrics.histogram("wait_ms", grant.waitedMs, this.tags());
         if (this.attemptCount++ === 0) ctx.retryBudget.noteFirstAttempt();
         const sentAtMs = run.ageMs();
@@ -79,9 +79,9 @@
 
     private updateCrashGuard({ upstream, address }: Grant, { result }: ChatAttempt): void {
         const { ctx: { crashGuard }, prepared: { fingerprint } } = this.options;
-        result.ifRight(() => crashGuard.noteServed(fingerprint));
+        result.ifRight(() => crashGuard.recordServed(fingerprint));
         result.ifLeft(({ connectionEnded }) => {
-            if (connectionEnded) crashGuard.noteConnectionEnded(fingerprint, upstream, address);
+            if (connectionEnded) crashGuard.recordConnectionEnd(fingerprint, upstream, address);
         });
     }
 
@@ -109,7 +109,7 @@
      */
     private handleFailure(grant: Grant, err: EngineStreamError): CallerError | undefined {
         const { ctx, run, sink } = this.options;
-        run.note("attempt-failed", `${grant.upstream} with ${sink.tokens} tokens delivered: ${err.message}`);
+        run.recordStep("attempt-failed", `${grant.upstream} with ${sink.tokens} tokens delivered: ${err.message}`);
         if (run.isCancelled) return makeCancelError(run.cancelReason!, this.failureOutcome());
         if (run.cancelReason === "preempted") return undefined;
         if (err.reason === "rejected") return makeRejectionError(err);
@@ -120,7 +120,7 @@
 
     private describeRefusal(refusal: Refusal): CallerError {
         const { run } = this.options;
-        run.noteRefusal(refusal.reason, refusal.detail);
+        run.recordRefusal(refusal.reason, refusal.detail);
         if (run.isCancelled) return makeCancelError(run.cancelReason!, this.failureOutcome());
         return toRefusalError(refusal, this.failureOutcome());
     }
--- a/src/entry/runService/index.ts
+++ b/src/entry/runService/index.ts
@@ -117,18 +117,18 @@
 }
 
 async function sendGranted(ctx: EntryContext, prepared: PreparedService, run: RunningRequest, grant: Grant) {
-    run.noteGrant(grant);
+    run.recordGrant(grant);
     ctx.metrics.histogram("wait_ms", grant.waitedMs, {
         workspace: run.identity.workspace,
         class: run.identity.className,
     });
     const result = await sendService(ctx, prepared, run, grant);
-    result.ifLeft(err => run.note("attempt-failed", `${grant.upstream}: ${err.message}`));
+    result.ifLeft(err => run.recordStep("attempt-failed", `${grant.upstream}: ${err.message}`));
     completeGrant(ctx, run, grant, result.isRight() ? "answered" : "failed");
     const { fingerprint } = prepared;
-    result.ifRight(() => ctx.crashGuard.noteServed(fingerprint));
+    result.ifRight(() => ctx.crashGuard.recordServed(fingerprint));
     result.ifLeft(({ connectionEnded }) => {
-        if (connectionEnded) ctx.crashGuard.noteConnectionEnded(fingerprint, grant.upstream, grant.address);
+        if (connectionEnded) ctx.crashGuard.recordConnectionEnd(fingerprint, grant.upstream, grant.address);
     });
     return result;
 }
@@ -183,7 +183,7 @@
 }
 
 function describeRefusal(run: RunningRequest, refusal: Refusal, mayHaveRun: boolean): CallerError {
-    run.noteRefusal(refusal.reason, refusal.detail);
+    run.recordRefusal(refusal.reason, refusal.detail);
     const outcome = failureOutcome(mayHaveRun);
     return run.isCancelled ? cancelError(run, outcome) : toRefusalError(refusal, outcome);
 }
--- a/src/entry/serveChat/index.ts
+++ b/src/entry/serveChat/index.ts
@@ -44,7 +44,7 @@
     const reserved = await ctx.spendLimiter.reserve(prepared.workspace, prepared.promptTokens + prepared.maxTokens);
     if (reserved.isLeft()) {
         const err = reserved.extract() as CallerError;
-        run.noteRefusal(err.type, err.message);
+        run.recordRefusal(err.type, err.message);
         sendCallerError(res, err, run.identity.id);
         return { outcome: err.outcome, tokens: 0 };
     }
--- a/src/entry/trackRequest/index.ts
+++ b/src/entry/trackRequest/index.ts
@@ -50,7 +50,7 @@
 function recordEnd(ctx: EntryContext, run: RunningRequest, { outcome, tokens }: RequestResult): void {
     const { id, workspace, className, pool } = run.identity;
     const tags = { workspace, class: className };
-    run.noteEnd(outcome);
+    run.recordEnd(outcome);
     ctx.metrics.histogram("total_ms", run.ageMs(), tags);
     ctx.metrics.count("requests", 1, { ...tags, outcome });
     ctx.logger.info("request-ended", { request: id, ...tags, pool, outcome, tokens, ms: Math.round(run.ageMs()) });
--- a/src/passthrough/prepareCall/index.ts
+++ b/src/passthrough/prepareCall/index.ts
@@ -2,7 +2,7 @@
 import { PoolId, RequestFingerprint, WorkspaceId } from "../../ids/index.js";
 import { BodyError, findHeader, HttpRequest } from "../../ports/index.js";
 import { fingerprintRequest } from "../../quarantine/index.js";
-import { drawTarget, Route, RouteTable } from "../../routing/index.js";
+import { pickTargetPool, Route, RouteTable } from "../../routing/index.js";
 import { CallContext } from "../callContext/index.js";
 import { CallHead } from "../callDialect/index.js";
 import { CallError, CallErrorKind } from "../callError/index.js";
@@ -81,7 +81,7 @@
         path: req.path,
         body: bytes,
         fingerprint: fingerprintRequest({ ...caller, ...requestTarget(req), body: bytes }),
-        pool: drawTarget(route, ctx.random),
+        pool: pickTargetPool(route, ctx.random),
         arrivedAt,
         deadlineAt: arrivedAt + limitMs,
     }));
@@ -153,7 +153,7 @@
     route: Route,
     { key }: CallHead,
 ): Either<CallError, Caller> {
-    if (route.keyless || !routes.asksForKeys) return Right({ workspace: undefined, tier: route.tier });
+    if (route.keyless || !routes.requiresKeys) return Right({ workspace: undefined, tier: route.tier });
     if (!ctx.view.isFresh()) return Left(staleViewError(ctx));
     if (key === undefined) return Left(new CallError("key-missing", "this route needs a key"));
     const owner = routes.findOwner(key);
--- a/src/passthrough/runCall/index.ts
+++ b/src/passthrough/runCall/index.ts
@@ -94,7 +94,7 @@
         return run.isCancelled ? endCancelled(task) : failNotRun(task, error!);
     }
     progress.tries++;
-    run.noteGrant(grant);
+    run.recordGrant(grant);
     const sentAt = ctx.clock.monotonic();
     const result = await sendGranted(task, grant);
     const idleMs = ctx.clock.monotonic() - Math.max(sentAt, progress.stream.lastEventAt);
@@ -116,7 +116,7 @@
 function declineGrant(task: CallTask, grant: Grant): CallEnd | undefined {
     const { run, progress } = task;
     completeGrant(task, grant, "unused");
-    run.note("grant-unused", `${grant.upstream} takes no more work`);
+    run.recordStep("grant-unused", `${grant.upstream} takes no more work`);
     if (run.isCancelled) return endCancelled(task);
     if (progress.avoid.includes(grant.upstream)) {
         const detail = "the only upstream that was offered takes no more work";
@@ -152,7 +152,7 @@
     if (end !== "not-sent" && end !== "refused") progress.begun++;
     progress.upstreamFailure = failure ?? progress.upstreamFailure;
     progress.lastDetail = detail;
-    run.note("attempt-ended", `${upstream} ${end}: ${detail}`);
+    run.recordStep("attempt-ended", `${upstream} ${end}: ${detail}`);
     const { tries, begun } = progress;
     const events = progress.stream.eventCount;
     const { fingerprint, pool, head: { request } } = call;
@@ -174,8 +174,8 @@
 
 function recordForCrashGuard({ ctx, call }: CallTask, { upstream, address }: Grant, result: AttemptResult): void {
     const { fingerprint } = call;
-    if (result.kind === "answered") ctx.crashes.noteServed(fingerprint);
-    else if (result.connectionEnded) ctx.crashes.noteConnectionEnded(fingerprint, upstream, address);
+    if (result.kind === "answered") ctx.crashes.recordServed(fingerprint);
+    else if (result.connectionEnded) ctx.crashes.recordConnectionEnd(fingerprint, upstream, address);
 }
 
 /**
@@ -191,7 +191,7 @@
 
 function endWithRefusal(task: CallTask, refusal: Refusal): CallEnd {
     const { run } = task;
-    run.noteRefusal(refusal.reason, refusal.detail);
+    run.recordRefusal(refusal.reason, refusal.detail);
     if (run.isCancelled) return endCancelled(task);
     const detail = `${refusal.reason}: ${refusal.detail}`;
     return failNotRun(task, new CallError("refused", detail, refusal.retryAfterMs));
--- a/src/passthrough/serveCalls/index.ts
+++ b/src/passthrough/serveCalls/index.ts
@@ -67,7 +67,7 @@
     const { outcome, status, attempts, stream } = end;
     const ms = Math.round(run.ageMs());
     const firstMs = stream.firstEventMs === undefined ? undefined : Math.round(stream.firstEventMs);
-    run.noteEnd(outcome);
+    run.recordEnd(outcome);
     ctx.metrics.count("calls", 1, { outcome, class: route.name });
     ctx.metrics.histogram("call_ms", ms, { class: route.name });
     if (firstMs !== undefined) ctx.metrics.histogram("first_byte_ms", firstMs, { class: route.name });
--- a/src/quarantine/crashGuard/index.ts
+++ b/src/quarantine/crashGuard/index.ts
@@ -14,12 +14,12 @@
     abstract quarantineLeftMs(fingerprint: RequestFingerprint): number | undefined;
 
     /** Called when an upstream has run a request to its end. */
-    abstract noteServed(fingerprint: RequestFingerprint): void;
+    abstract recordServed(fingerprint: RequestFingerprint): void;
 
     /**
      * Called when an upstream ended the connection while it was running a request, whether it crashed or not.
      *
      * @param address - Address that the request was sent to.
      */
-    abstract noteConnectionEnded(fingerprint: RequestFingerprint, upstream: UpstreamId, address: Address): void;
+    abstract recordConnectionEnd(fingerprint: RequestFingerprint, upstream: UpstreamId, address: Address): void;
 }
--- a/src/quarantine/quarantineTable/index.ts
+++ b/src/quarantine/quarantineTable/index.ts
@@ -25,7 +25,7 @@
 }
 
 /** Records crashes against the requests that were running. A crash that is recorded twice counts once. */
-export interface NoteCrashesCommand {
+export interface RecordCrashesCommand {
     readonly kind: "crash.note";
     readonly crashes: readonly UpstreamCrash[];
 }
@@ -37,7 +37,7 @@
 }
 
 /** Commands that change the table. */
-export type QuarantineCommand = NoteCrashesCommand | LiftQuarantineCommand;
+export type QuarantineCommand = RecordCrashesCommand | LiftQuarantineCommand;
 
 /** A request that is not sent to upstreams. */
 export interface QuarantinedRequest {
--- a/src/quarantine/servedRequests/index.ts
+++ b/src/quarantine/servedRequests/index.ts
@@ -20,7 +20,7 @@
 
     constructor(private readonly clock: Pick<Clock, "monotonic">) {}
 
-    note(fingerprint: RequestFingerprint): void {
+    record(fingerprint: RequestFingerprint): void {
         this.servedAt.delete(fingerprint);
         this.servedAt.set(fingerprint, this.clock.monotonic());
         if (this.servedAt.size > MAX_REMEMBERED_REQUESTS) this.servedAt.delete(this.servedAt.keys().next().value!);
--- a/src/quarantine/servedRequests/test.ts
+++ b/src/quarantine/servedRequests/test.ts
@@ -11,7 +11,7 @@
         const clock = new VirtualClock();
         const served = new ServedRequests(clock);
         assert.equal(served.isRecent(REQUEST), false);
-        served.note(REQUEST);
+        served.record(REQUEST);
         await clock.advance(9_000);
         assert.equal(served.isRecent(REQUEST), true);
         await clock.advance(2_000);
@@ -20,8 +20,8 @@
 
     it("forgets the oldest of very many", () => {
         const served = new ServedRequests(new VirtualClock());
-        served.note(REQUEST);
-        for (let number = 0; number < 3_000; number++) served.note(`n${number}` as RequestFingerprint);
+        served.record(REQUEST);
+        for (let number = 0; number < 3_000; number++) served.record(`n${number}` as RequestFingerprint);
         assert.equal(served.isRecent(REQUEST), false);
         assert.equal(served.isRecent("n2999" as RequestFingerprint), true);
     });
--- a/src/request/requestRegistry/index.ts
+++ b/src/request/requestRegistry/index.ts
@@ -58,7 +58,7 @@
     }
 
     /** Resolves once no request is running. */
-    idle(): Promise<void> {
+    whenIdle(): Promise<void> {
         if (this.running.size === 0) return Promise.resolve();
         return new Promise(resolve => this.idleWaiters.push(resolve));
     }
--- a/src/request/runningRequest/index.ts
+++ b/src/request/runningRequest/index.ts
@@ -80,30 +80,30 @@
     }
 
     /** Appends an event to the history. */
-    note(event: string, detail = ""): void {
+    recordStep(event: string, detail = ""): void {
         this.history.steps.push({ atMs: Math.round(this.ageMs()), event, detail });
     }
 
     /** Records that an upstream was chosen. */
-    noteGrant({ upstream, waitedMs, reason, decidedBy }: Grant): void {
+    recordGrant({ upstream, waitedMs, reason, decidedBy }: Grant): void {
         if (this.history.upstream === undefined) this.history.waitedMs = waitedMs;
         this.history.upstream = upstream;
         this.history.reason = reason;
         this.history.decidedBy = decidedBy;
-        this.note("granted", `${upstream} after ${Math.round(waitedMs)} ms: ${reason}`);
+        this.recordStep("granted", `${upstream} after ${Math.round(waitedMs)} ms: ${reason}`);
     }
 
     /** Records the reason for which the request gets no upstream. */
-    noteRefusal(reason: string, detail: string): void {
+    recordRefusal(reason: string, detail: string): void {
         this.history.reason = `${reason}: ${detail}`;
-        this.note("refused", this.history.reason);
+        this.recordStep("refused", this.history.reason);
     }
 
     /** Records the final outcome. */
-    noteEnd(outcome: string): void {
+    recordEnd(outcome: string): void {
         this.history.outcome = outcome;
         this.history.totalMs = this.ageMs();
-        this.note("ended", outcome);
+        this.recordStep("ended", outcome);
     }
 
     /** Stops the request, or only its current attempt if the reason is "preempted" or "stalled". */
@@ -111,7 +111,7 @@
         if (this.isFinal || (this.mustFinish && reason !== "stalled")) return;
         this.latestCancelReason = reason;
         this.isFinal = reason !== "preempted" && reason !== "stalled";
-        this.note("stopped", reason);
+        this.recordStep("stopped", reason);
         this.attemptController.abort();
     }
 
--- a/src/routing/documentBook/index.ts
+++ b/src/routing/documentBook/index.ts
@@ -20,7 +20,7 @@
 }
 
 /** A document with the revision that stored it. */
-export interface HeldDocument {
+export interface StoredDocument {
     readonly document: FleetDocument;
     readonly source: Uint8Array;
     readonly revision: Revision;
@@ -35,10 +35,10 @@
  * @example
  * const result = store.replace(command, context.index);
  */
-export class DocumentBook {
-    private stored: HeldDocument | undefined;
+export class DocumentStore {
+    private stored: StoredDocument | undefined;
 
-    get held(): HeldDocument | undefined {
+    get current(): StoredDocument | undefined {
         return this.stored;
     }
 
@@ -53,11 +53,11 @@
         return { state: isHigher ? "replaced" : "superseded", revision: this.revision };
     }
 
-    snapshot(): HeldDocument | undefined {
+    snapshot(): StoredDocument | undefined {
         return this.stored;
     }
 
-    restore(stored: HeldDocument | undefined): void {
+    restore(stored: StoredDocument | undefined): void {
         this.stored = stored;
     }
 }
--- a/src/routing/routeTable/index.ts
+++ b/src/routing/routeTable/index.ts
@@ -19,7 +19,7 @@
     readonly version: number;
     readonly limits: CallerLimits;
     /** Whether calls need keys; false if the document contains no workspaces. */
-    readonly asksForKeys: boolean;
+    readonly requiresKeys: boolean;
     private readonly routesByHost = new Map<string, Route[]>();
     private readonly owners = new Map<string, KeyOwner>();
     private readonly pools = new Map<PoolId, PoolSpec>();
@@ -28,7 +28,7 @@
         const { version, limits, routes, pools, workspaces } = document;
         this.version = version;
         this.limits = limits;
-        this.asksForKeys = workspaces !== undefined;
+        this.requiresKeys = workspaces !== undefined;
         for (const route of routes) this.addRoute(route);
         for (const list of this.routesByHost.values()) {
             list.sort((a, b) => b.pathPrefix.length - a.pathPrefix.length);
@@ -78,7 +78,7 @@
  * @example
  * const pool = drawTarget(route, random);
  */
-export function drawTarget({ targets }: Route, random: Random): PoolId {
+export function pickTargetPool({ targets }: Route, random: Random): PoolId {
     if (targets.length === 1) return targets[0].pool;
     const sum = targets.reduce((total, { weight }) => total + weight, 0);
     let remaining = random.between(0, sum);
--- a/src/routing/routeTable/test.ts
+++ b/src/routing/routeTable/test.ts
@@ -2,7 +2,7 @@
 import { describe, it } from "node:test";
 import { SeededRandom } from "../../ports/index.js";
 import { makeCheckedDocument, makeRoute } from "../fixtures/index.js";
-import { drawTarget, RouteTable } from "./index.js";
+import { pickTargetPool, RouteTable } from "./index.js";
 
 describe("RouteTable", () => {
     const routes = [
@@ -40,7 +40,7 @@
         const targets = [{ pool: "draft", weight: 90 }, { pool: "ledger", weight: 10 }, { pool: "draft", weight: 0 }];
         const [route] = makeCheckedDocument({ routes: [makeRoute({ targets })] }).routes;
         const random = new SeededRandom(7);
-        const draws = Array.from({ length: 1_000 }, () => drawTarget(route, random));
+        const draws = Array.from({ length: 1_000 }, () => pickTargetPool(route, random));
         const ledger = draws.filter(pool => pool === "ledger").length;
         assert.ok(ledger > 60 && ledger < 140, `${ledger} of 1000`);
     });
--- a/src/upstream/index.ts
+++ b/src/upstream/index.ts
@@ -2,7 +2,6 @@
  * Registry of announced upstreams, estimates of their load, caches and speed, and the policies that select one for a
  * request.
  */
-export * from "./choice/index.js";
 export * from "./fixtures/index.js";
 export * from "./load/index.js";
 export * from "./members/index.js";
@@ -19,6 +18,7 @@
 export * from "./requestRate/index.js";
 export * from "./routedChoice/index.js";
 export * from "./routedWeights/index.js";
+export * from "./selectionPolicy/index.js";
 export * from "./stragglers/index.js";
 export * from "./upstream/index.js";
 export * from "./upstreamRegistry/index.js";
--- a/src/upstream/load/index.ts
+++ b/src/upstream/load/index.ts
@@ -8,7 +8,7 @@
     /** Requests per second from all hosts together. */
     readonly perSecond: number;
     /** Monotonic time of the answer that stated it, in milliseconds. */
-    readonly saidAt: number;
+    readonly answeredAt: number;
 }
 
 interface OutstandingSample {
@@ -107,7 +107,7 @@
     /** Limit that it states in its answers, with the time of the answer; undefined if it states none. */
     get limit(): AdvertisedLimit | undefined {
         const { perSecond, answeredAt } = this.allowance;
-        return perSecond === undefined ? undefined : { perSecond, saidAt: answeredAt };
+        return perSecond === undefined ? undefined : { perSecond, answeredAt: answeredAt };
     }
 
     /**
@@ -116,7 +116,7 @@
      * @param perSecond - Requests per second from all hosts together; undefined if the answer states none.
      * @param answeredAt - Monotonic time of the answer, in milliseconds.
      */
-    learnLimit(perSecond: number | undefined, answeredAt: number, now: number): void {
+    updateLimit(perSecond: number | undefined, answeredAt: number, now: number): void {
         this.allowance.update(perSecond, answeredAt, now, this.sendRate.count(now));
     }
 
@@ -239,7 +239,7 @@
     }
 
     /** Updates the smoothed time between tokens with one observed by a request, in milliseconds. */
-    learnPace(tokenMs: number): void {
+    recordTokenMs(tokenMs: number): void {
         this.tokenMsSampleCount++;
         this.smoothedTokenMs = this.smoothedTokenMs === undefined
             ? tokenMs
--- a/src/upstream/load/test.ts
+++ b/src/upstream/load/test.ts
@@ -102,12 +102,12 @@
     describe("while it states a limit", () => {
         it("offers the remainder of its limit, and all of its slots once the limit has ended", () => {
             const load = makeLoad(0, 0, 0);
-            load.learnLimit(2, 0, 0);
+            load.updateLimit(2, 0, 0);
             load.markSent(0);
             load.markSent(0);
             assert.deepEqual([load.freeSlots(0), load.isAtLimit(0)], [0, true]);
             assert.deepEqual([load.freeSlots(500), load.isAtLimit(500)], [1, false]);
-            load.learnLimit(undefined, 600, 600);
+            load.updateLimit(undefined, 600, 600);
             assert.equal(load.freeSlots(600), 6);
         });
 
@@ -115,7 +115,7 @@
             // Prevents far too short predictions of waits for an upstream that takes few requests per second but could
             // run many.
             const load = makeLoad(0, 0, 0);
-            load.learnLimit(2, 0, 0);
+            load.updateLimit(2, 0, 0);
             assert.equal(load.usableSlots(0, 3_000), 6);
             assert.equal(load.usableSlots(0, 100), 0.2);
             assert.equal(load.usableSlots(0, 60_000), 8);
--- a/src/upstream/members/index.ts
+++ b/src/upstream/members/index.ts
@@ -32,7 +32,7 @@
             readonly registry: UpstreamRegistry;
             readonly pool: PoolId;
             /** Requests per second that this process may send to a cold upstream. */
-            readonly coldRate?: () => number;
+            readonly coldRequestsPerS?: () => number;
             /** Share of a limit stated by an upstream that this process may use, from 0 to 1. */
             readonly limitShare?: () => number;
         },
@@ -70,7 +70,7 @@
      * Sets the average duration of a request in milliseconds, by which a limit on requests per second is converted to
      * slots.
      */
-    useServiceTime(meanServiceMs: () => number): void {
+    setServiceTime(meanServiceMs: () => number): void {
         this.meanServiceMs = meanServiceMs;
     }
 
@@ -96,7 +96,7 @@
             return;
         }
         this.remove(upstream.id);
-        const load = new UpstreamLoad(upstream, this.options.coldRate, this.options.limitShare);
+        const load = new UpstreamLoad(upstream, this.options.coldRequestsPerS, this.options.limitShare);
         this.loads.set(upstream.id, load);
         this.members.push(load);
         this.refresh(load);
--- a/src/upstream/members/test.ts
+++ b/src/upstream/members/test.ts
@@ -57,7 +57,12 @@
             const registry = new UpstreamRegistry({ clock });
             registry.announce(makeAnnouncement({ id: "a", pools: [POOL], slots: SLOTS, zone: VOGAR }));
             registry.announce(makeAnnouncement({ id: "b", pools: [POOL], slots: SLOTS, zone: "keflavik" }));
-            const members = new PoolMembers({ clock, registry, pool: POOL, coldRate: () => COLD_REQUESTS_PER_S });
+            const members = new PoolMembers({
+                clock,
+                registry,
+                pool: POOL,
+                coldRequestsPerS: () => COLD_REQUESTS_PER_S,
+            });
             registry.onChange(upstream => members.update(upstream));
             return { clock, registry, members };
         }
--- a/src/upstream/memoryUse/index.ts
+++ b/src/upstream/memoryUse/index.ts
@@ -1,7 +1,7 @@
-import { ChoiceRequest } from "../choice/index.js";
+import { SelectionRequest } from "../selectionPolicy/index.js";
 
 /** Properties of a request that determine how much KV cache memory it needs. */
-export type MemoryDemand = Pick<ChoiceRequest, "parts" | "promptTokens" | "predictedTokens">;
+export type MemoryDemand = Pick<SelectionRequest, "parts" | "promptTokens" | "predictedTokens">;
 
 interface PartInUse {
     readonly tokens: number;
--- a/src/upstream/requestLimits/index.ts
+++ b/src/upstream/requestLimits/index.ts
@@ -46,7 +46,7 @@
      * @param perSecond - Limit stated by the answer; undefined if it states none.
      * @param ageMs - Age of the answer, in milliseconds.
      */
-    note(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs = 0): LimitChange | undefined {
+    record(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs = 0): LimitChange | undefined {
         const answeredAt = this.clock.monotonic() - ageMs;
         const before = this.known.get(upstream);
         if (before && before.answeredAt > answeredAt) return undefined;
--- a/src/upstream/requestLimits/test.ts
+++ b/src/upstream/requestLimits/test.ts
@@ -10,15 +10,15 @@
 describe("RequestLimits", () => {
     it("returns what an answer changes", () => {
         const limits = new RequestLimits(new VirtualClock());
-        const changes = [undefined, 2, 2, 1.5, undefined, undefined].map(limit => limits.note(POOL, UPSTREAM, limit));
+        const changes = [undefined, 2, 2, 1.5, undefined, undefined].map(limit => limits.record(POOL, UPSTREAM, limit));
         assert.deepEqual(changes, [undefined, "named", undefined, "changed", "ended", undefined]);
     });
 
     it("lists a pool's limits with their age", async () => {
         const clock = new VirtualClock();
         const limits = new RequestLimits(clock);
-        limits.note(POOL, UPSTREAM, 2);
-        limits.note("other" as PoolId, "u2" as UpstreamId, 3);
+        limits.record(POOL, UPSTREAM, 2);
+        limits.record("other" as PoolId, "u2" as UpstreamId, 3);
         await clock.advance(400);
         assert.deepEqual(limits.list(POOL), [{ upstream: UPSTREAM, perSecond: 2, ageMs: 400 }]);
     });
@@ -27,17 +27,17 @@
         const clock = new VirtualClock();
         const limits = new RequestLimits(clock);
         await clock.advance(1_000);
-        limits.note(POOL, UPSTREAM, 2);
-        assert.equal(limits.note(POOL, UPSTREAM, undefined, 300), undefined);
+        limits.record(POOL, UPSTREAM, 2);
+        assert.equal(limits.record(POOL, UPSTREAM, undefined, 300), undefined);
         assert.equal(limits.list(POOL).length, 1);
     });
 
     it("forgets upstreams that have ended, and the oldest of very many", () => {
         const limits = new RequestLimits(new VirtualClock());
-        limits.note(POOL, UPSTREAM, 2);
+        limits.record(POOL, UPSTREAM, 2);
         limits.forget(UPSTREAM);
         assert.equal(limits.size, 0);
-        for (let number = 0; number < 2_000; number++) limits.note(POOL, `n${number}` as UpstreamId, 1);
+        for (let number = 0; number < 2_000; number++) limits.record(POOL, `n${number}` as UpstreamId, 1);
         assert.equal(limits.size, 1_024);
     });
 });
--- a/src/upstream/routedChoice/index.ts
+++ b/src/upstream/routedChoice/index.ts
@@ -1,6 +1,5 @@
 import { RequestId, UpstreamId } from "../../ids/index.js";
 import { pickLeast } from "../_lib/pickLeast/index.js";
-import { Choice, ChoiceRequest, PartsFetch, UpstreamChoice } from "../choice/index.js";
 import { UpstreamLoad } from "../load/index.js";
 import { PartsPlacement } from "../partsPlacement/index.js";
 import { PauseForecast } from "../pauseForecast/index.js";
@@ -8,6 +7,7 @@
 import { PromptCache, PromptPart } from "../promptCache/index.js";
 import { PrefillLoad } from "../readingLoad/index.js";
 import { DEFAULT_FIRST_TOKEN_WEIGHTS, FirstTokenWeights } from "../routedWeights/index.js";
+import { Choice, PartsFetch, SelectionPolicy, SelectionRequest } from "../selectionPolicy/index.js";
 import { GrantedRequest, UpstreamWork } from "../upstreamWork/index.js";
 
 const BYTES_PER_KILOBYTE = 1_024;
@@ -45,9 +45,9 @@
  * - Engines whose memory fills up before their slots do: they preempt requests, even urgent ones, and prefill them
  *   again.
  */
-export class RoutedChoice extends UpstreamChoice {
+export class FirstTokenPolicy extends SelectionPolicy {
     /** Any candidate may hold the prompt's parts, and only few are weighed in full, so that no sampling is needed. */
-    override readonly mostCandidates = Number.POSITIVE_INFINITY;
+    override readonly maxCandidates = Number.POSITIVE_INFINITY;
     private readonly workByUpstream = new Map<UpstreamId, UpstreamWork>();
     private readonly grantedRequests = new Map<RequestId, GrantedRequest>();
     private readonly promptCache: PromptCache;
@@ -71,7 +71,7 @@
         this.placement = new PartsPlacement(this.promptCache);
     }
 
-    choose(candidates: readonly UpstreamLoad[], request: ChoiceRequest): Choice {
+    choose(candidates: readonly UpstreamLoad[], request: SelectionRequest): Choice {
         const holders = this.promptCache.listHolders(request.parts);
         const shared = this.describeShared(candidates, request, holders);
         const { item: best, weight } = this.pick(
@@ -89,7 +89,7 @@
         return { load: best, reason, fetch };
     }
 
-    override granted({ load: { upstream }, fetch }: Choice, request: ChoiceRequest): void {
+    override granted({ load: { upstream }, fetch }: Choice, request: SelectionRequest): void {
         const { now, parts } = request;
         const work = this.workOf(upstream.id);
         const held = this.promptCache.heldTokens(parts, upstream.id) + (fetch?.tokens ?? 0);
@@ -103,12 +103,12 @@
      * Registers requests granted by the previous owner of the queue: otherwise a new owner would take their upstreams
      * to run no streams, and these streams would stall beside the first long prompts.
      */
-    override adopted({ upstream }: UpstreamLoad, request: ChoiceRequest, runningMs: number): void {
+    override adopted({ upstream }: UpstreamLoad, request: SelectionRequest, runningMs: number): void {
         this.promptCache.recordSent(request.parts, upstream.id, request.now - runningMs);
         this.grantedRequests.set(request.request, this.workOf(upstream.id).adopt(request, runningMs));
     }
 
-    override readingLoad(now: number): number {
+    override prefillLoad(now: number): number {
         return this.loadAverage.valueAt(now);
     }
 
@@ -126,7 +126,7 @@
         this.workOf(granted.upstream).ended(granted, failed, now, longestGapMs);
     }
 
-    override learnHeld(upstream: UpstreamId, parts: readonly PromptPart[], now: number): void {
+    override recordHeldParts(upstream: UpstreamId, parts: readonly PromptPart[], now: number): void {
         this.promptCache.recordReported(parts, upstream, now);
     }
 
@@ -141,7 +141,7 @@
      */
     private weighWithoutStalls(
         load: UpstreamLoad,
-        request: ChoiceRequest,
+        request: SelectionRequest,
         shared: SharedParts,
         holders: HeldTokens,
     ): number {
@@ -179,7 +179,7 @@
      * Weight of the streams that would stall there beside this prompt, and of the probability that its own stream
      * would.
      */
-    private weighStalls(load: UpstreamLoad, request: ChoiceRequest, holders: HeldTokens): number {
+    private weighStalls(load: UpstreamLoad, request: SelectionRequest, holders: HeldTokens): number {
         const { weights } = this;
         const { targetMs } = request;
         const { id } = load.upstream;
@@ -189,7 +189,7 @@
             + weights.ownStallTargets * targetMs * upstreamWork.stallProbability(request, load.tokenMs);
     }
 
-    private findFetch(chosen: UpstreamLoad, request: ChoiceRequest, shared: SharedParts): PartsFetch | undefined {
+    private findFetch(chosen: UpstreamLoad, request: SelectionRequest, shared: SharedParts): PartsFetch | undefined {
         const { findSource, now } = request;
         if (!findSource || shared.tokens === 0) return undefined;
         const findProvider = (id: UpstreamId): UpstreamLoad | undefined => {
@@ -208,7 +208,7 @@
 
     private describeShared(
         candidates: readonly UpstreamLoad[],
-        request: ChoiceRequest,
+        request: SelectionRequest,
         holders: HeldTokens,
     ): SharedParts {
         const parts = request.parts.slice(0, -1);
@@ -231,14 +231,14 @@
 }
 
 /** Returns the share of the request's memory demand that exceeds the upstream's free memory, from 0 to 1. */
-function memoryOverflowShare({ memory }: UpstreamWork, request: ChoiceRequest, capacityTokens: number): number {
+function memoryOverflowShare({ memory }: UpstreamWork, request: SelectionRequest, capacityTokens: number): number {
     // Most upstreams have room for the whole request, so that shared parts need not be looked up.
     if (memory.tokens + request.promptTokens + request.predictedTokens <= capacityTokens) return 0;
     const needed = memory.tokensFor(request);
     return Math.max(0, Math.min(1, (memory.tokens + needed - capacityTokens) / Math.max(1, needed)));
 }
 
-function makePrefillWork({ promptTokens }: ChoiceRequest, heldTokens: number): PrefillWork {
+function makePrefillWork({ promptTokens }: SelectionRequest, heldTokens: number): PrefillWork {
     const held = Math.min(promptTokens, heldTokens);
     return { tokens: promptTokens - held, held };
 }
--- a/src/upstream/routedChoice/test.ts
+++ b/src/upstream/routedChoice/test.ts
@@ -3,18 +3,18 @@
 import { PoolId, RequestId, UpstreamId, ZoneId } from "../../ids/index.js";
 import { SeededRandom } from "../../ports/index.js";
 import { pickLeast } from "../_lib/pickLeast/index.js";
-import { ChoiceRequest } from "../choice/index.js";
 import { makeAnnouncement, pickExhaustively } from "../fixtures/index.js";
 import { UpstreamLoad } from "../load/index.js";
+import { SelectionRequest } from "../selectionPolicy/index.js";
 import { Upstream } from "../upstream/index.js";
-import { RoutedChoice } from "./index.js";
+import { FirstTokenPolicy } from "./index.js";
 
 function makeLoads(ids: readonly string[]): UpstreamLoad[] {
     return ids.map(id => new UpstreamLoad(new Upstream(makeAnnouncement({ id, slots: 64 }), 0, true)));
 }
 
 let nextRequest = 0;
-function makeRequest(parts: Partial<ChoiceRequest> = {}): ChoiceRequest {
+function makeRequest(parts: Partial<SelectionRequest> = {}): SelectionRequest {
     return {
         request: `r${++nextRequest}` as RequestId,
         pool: "draft" as PoolId,
@@ -34,7 +34,11 @@
 }
 
 /** Chooses an upstream for a request, grants it, and returns the upstream's id. */
-function grantToChosen(choice: RoutedChoice, loads: readonly UpstreamLoad[], request: ChoiceRequest): UpstreamId {
+function grantToChosen(
+    choice: FirstTokenPolicy,
+    loads: readonly UpstreamLoad[],
+    request: SelectionRequest,
+): UpstreamId {
     const chosen = choice.choose(loads, request);
     const { load } = chosen;
     choice.granted(chosen, request);
@@ -46,7 +50,7 @@
 
 describe("FirstTokenPolicy", () => {
     it("spreads a burst of long prompts, each grant counted at once", () => {
-        const choice = new RoutedChoice(() => undefined);
+        const choice = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b", "c", "d"]);
         const places = Array.from(
             { length: 8 },
@@ -56,9 +60,9 @@
     });
 
     it("prefers the holder of the prompt's shared parts, unless its backlog is longer than computing them again", () => {
-        const choice = new RoutedChoice(() => undefined);
+        const choice = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b"]);
-        const makeDocumentRequest = (now: number): ChoiceRequest =>
+        const makeDocumentRequest = (now: number): SelectionRequest =>
             makeRequest({ promptTokens: 16_000, parts: DOCUMENT_PARTS, now });
         const first = makeDocumentRequest(0);
         const home = grantToChosen(choice, loads, first);
@@ -80,12 +84,12 @@
         for (let subject = 0; subject < 20; subject++) {
             const parts = [{ id: `recipe-${subject}`, tokens: 13_000 }, { id: "own", tokens: 3_000 }];
             const first = grantToChosen(
-                new RoutedChoice(() => undefined),
+                new FirstTokenPolicy(() => undefined),
                 loads,
                 makeRequest({ promptTokens: 16_000, parts }),
             );
             const next = grantToChosen(
-                new RoutedChoice(() => undefined),
+                new FirstTokenPolicy(() => undefined),
                 loads,
                 makeRequest({ promptTokens: 16_000, parts }),
             );
@@ -95,7 +99,7 @@
 
     it("keeps long prompts away from streams for which the pause would be too long", () => {
         // Streams paused for half a second beside the prefill of a long prompt, and counted as late.
-        const choice = new RoutedChoice(() => undefined);
+        const choice = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b"]);
         const shortAt = grantToChosen(choice, loads, makeRequest({ promptTokens: 500, gapMs: 250 }));
         const longAt = grantToChosen(choice, loads, makeRequest({ promptTokens: 20_000, gapMs: 1_000, now: 500 }));
@@ -105,11 +109,11 @@
     it("separates pause-sensitive streams from long prompts, even with few engines", () => {
         // The engines of two zones were reclaimed during a burst, and the remaining ones served everything. Each engine
         // had some short and some long prompts, so that each long prompt made a few of the short ones late.
-        const choice = new RoutedChoice(() => undefined);
+        const choice = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b", "c", "d"]);
         const longAt = new Set<UpstreamId>();
         const shortAt = new Map<UpstreamId, number>();
-        const running: ChoiceRequest[] = [];
+        const running: SelectionRequest[] = [];
         for (let now = 0; now < 20_000; now += 100) {
             const isLong = now % 400 === 0;
             const size = isLong ? { promptTokens: 15_000, gapMs: 1_000 } : { promptTokens: 800, gapMs: 250 };
@@ -133,20 +137,20 @@
         // Two zones were reclaimed while the number of long prompts doubled. Each long prompt was short enough for the
         // streams beside it, but three in a row were not: the engine prefilled them without a break, and the next event
         // of a stream came too late. Cause: a prompt was weighed alone, without those prefilled before it.
-        const makeLongRequest = (now: number): ChoiceRequest =>
+        const makeLongRequest = (now: number): SelectionRequest =>
             makeRequest({ promptTokens: 4_500, gapMs: 1_000, targetMs: 2_500, now });
-        const makeStreamRequest = (now: number): ChoiceRequest =>
+        const makeStreamRequest = (now: number): SelectionRequest =>
             makeRequest({ promptTokens: 500, gapMs: 180, targetMs: 1_200, eventTokens: 8, predictedTokens: 250, now });
 
         /** Starts a stream that is still running: its latest event came a second later. */
-        function startStream(choice: RoutedChoice, load: UpstreamLoad, request: ChoiceRequest): void {
+        function startStream(choice: FirstTokenPolicy, load: UpstreamLoad, request: SelectionRequest): void {
             choice.granted({ load, reason: "" }, request);
             choice.progressed(request.request, true, request.now + 40);
             choice.progressed(request.request, false, request.now + 1_000);
         }
 
         it("are kept apart from the prompt that would make the prefill period too long", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const [streaming, prefilling] = makeLoads(["briefs", "itineraries"]);
             startStream(choice, streaming, makeStreamRequest(0));
             for (let i = 0; i < 3; i++) choice.granted({ load: prefilling, reason: "" }, makeLongRequest(1_000));
@@ -155,7 +159,7 @@
         });
 
         it("do not go where such prefill periods occurred recently", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const [prefilling, idle] = makeLoads(["itineraries", "idle"]);
             idle.markSent(0);
             for (let now = 0; now < 4_000; now += 500) {
@@ -165,7 +169,7 @@
         });
 
         it("no longer count once they are late", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const [late, sound] = makeLoads(["late", "sound"]);
             startStream(choice, late, makeStreamRequest(0));
             startStream(choice, sound, makeStreamRequest(0));
@@ -178,7 +182,7 @@
         });
 
         it("are known to a new owner of the queue, which did not grant them", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const [streaming, prefilling] = makeLoads(["briefs", "itineraries"]);
             choice.adopted(streaming, makeStreamRequest(1_000), 500);
             for (let i = 0; i < 3; i++) choice.granted({ load: prefilling, reason: "" }, makeLongRequest(1_000));
@@ -190,7 +194,7 @@
     it("avoids an unresponsive engine within a second, though its connections are open", () => {
         // Callers waited until they gave up: an unresponsive engine accepted connections but answered no request, and
         // had the shortest backlog of all.
-        const choice = new RoutedChoice(() => undefined);
+        const choice = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["dark", "sound"]);
         const [unresponsive, sound] = loads;
         choice.granted({ load: unresponsive, reason: "" }, makeRequest({ promptTokens: 500, now: 0 }));
@@ -206,7 +210,7 @@
         // The number of long prompts doubled, and an engine with free slots had no memory left. It preempted running
         // requests, even more urgent ones, and prefilled them again. Cause: only slots were counted, but memory is full
         // long before they are.
-        const choice = new RoutedChoice(() => 20_000);
+        const choice = new FirstTokenPolicy(() => 20_000);
         const loads = makeLoads(["full", "roomy"]);
         const [full, roomy] = loads;
         for (let i = 0; i < 3; i++) {
@@ -220,7 +224,7 @@
     });
 
     it("prefers upstreams that do not fail requests", () => {
-        const choice = new RoutedChoice(() => undefined);
+        const choice = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["grey", "sound"]);
         for (let i = 0; i < 10; i++) {
             const request = makeRequest();
@@ -234,7 +238,7 @@
         // A zone's engines were about to be reclaimed, and documents cached there were requested again elsewhere. The
         // remaining engines prefilled each of them completely, and short prompts waited behind them for half a second.
         // Cause: the parts held by the leaving engines were not fetched while these were still there.
-        const makeDocumentRequest = (now: number, sources: readonly UpstreamLoad[]): ChoiceRequest =>
+        const makeDocumentRequest = (now: number, sources: readonly UpstreamLoad[]): SelectionRequest =>
             makeRequest({
                 promptTokens: 16_000,
                 parts: DOCUMENT_PARTS,
@@ -242,7 +246,7 @@
                 now,
             });
 
-        function runOnLeavingUpstream(choice: RoutedChoice, loads: readonly UpstreamLoad[], now: number): void {
+        function runOnLeavingUpstream(choice: FirstTokenPolicy, loads: readonly UpstreamLoad[], now: number): void {
             const request = makeDocumentRequest(now, []);
             choice.granted({ load: loads[0], reason: "" }, request);
             choice.progressed(request.request, true, now + 300);
@@ -250,7 +254,7 @@
         }
 
         it("are fetched from one that leaves", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["leaver", "stays"]);
             runOnLeavingUpstream(choice, loads, 0);
             const { fetch } = choice.choose([loads[1]], makeDocumentRequest(2_000, loads));
@@ -258,7 +262,7 @@
         });
 
         it("are not fetched from one whose prefill of them is still running", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["leaver", "stays"]);
             choice.granted({ load: loads[0], reason: "" }, makeDocumentRequest(0, []));
             assert.equal(choice.choose([loads[1]], makeDocumentRequest(200, loads)).fetch, undefined);
@@ -267,7 +271,7 @@
         it("are fetched as soon as a prompt with them has produced its first token there", () => {
             // Two callers asked for the same document within a second. The engine that prefilled it first had no time
             // for the second request, and another engine prefilled the document again.
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["first", "stays"]);
             const request = makeDocumentRequest(0, []);
             choice.granted({ load: loads[0], reason: "" }, request);
@@ -276,7 +280,7 @@
         });
 
         it("are not fetched from one that prefills other prompts first, however long ago they were sent", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["busy", "stays"]);
             for (let i = 0; i < 10; i++) {
                 choice.granted({ load: loads[0], reason: "" }, makeRequest({ promptTokens: 20_000, now: 0 }));
@@ -286,14 +290,14 @@
         });
 
         it("are not fetched if they have not been used recently", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["leaver", "stays"]);
             runOnLeavingUpstream(choice, loads, 0);
             assert.equal(choice.choose([loads[1]], makeDocumentRequest(20_000, loads)).fetch, undefined);
         });
 
         it("are not fetched from an unresponsive one", () => {
-            const choice = new RoutedChoice(() => undefined);
+            const choice = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["dark", "stays"]);
             runOnLeavingUpstream(choice, loads, 0);
             choice.granted({ load: loads[0], reason: "" }, makeRequest({ promptTokens: 500, now: 1_000 }));
@@ -310,7 +314,7 @@
          * Generates a seeded load of long prompts with shared parts and short prompts whose streams tolerate only short
          * pauses.
          */
-        function* generateLoad(seed: number): Generator<ChoiceRequest> {
+        function* generateLoad(seed: number): Generator<SelectionRequest> {
             const random = new SeededRandom(seed);
             for (let index = 0; index < DURATION_S * REQUESTS_PER_S; index++) {
                 const now = index * 1_000 / REQUESTS_PER_S;
@@ -329,10 +333,10 @@
         }
 
         /** Grants a whole load; each request produces its first token after a while, and ends two seconds later. */
-        function grantAll(choice: RoutedChoice, seed: number): UpstreamId[] {
+        function grantAll(choice: FirstTokenPolicy, seed: number): UpstreamId[] {
             const loads = makeLoads(Array.from({ length: ENGINE_COUNT }, (_, index) => `engine-${index}`));
-            const running: ChoiceRequest[] = [];
-            const prefilling: ChoiceRequest[] = [];
+            const running: SelectionRequest[] = [];
+            const prefilling: SelectionRequest[] = [];
             return [...generateLoad(seed)].map(request => {
                 const { now } = request;
                 while (prefilling[0]?.now <= now - 120) choice.progressed(prefilling.shift()!.request, true, now);
@@ -348,8 +352,8 @@
 
         it("chooses as if each of them had been weighed in full", () => {
             for (const seed of [1, 2, 3]) {
-                const few = grantAll(new RoutedChoice(() => 900_000), seed);
-                const all = grantAll(new RoutedChoice(() => 900_000, undefined, pickExhaustively), seed);
+                const few = grantAll(new FirstTokenPolicy(() => 900_000), seed);
+                const all = grantAll(new FirstTokenPolicy(() => 900_000, undefined, pickExhaustively), seed);
                 assert.deepEqual(few, all);
             }
         });
@@ -364,7 +368,7 @@
                     return weigh(item, floor);
                 });
             };
-            grantAll(new RoutedChoice(() => 900_000, undefined, counting), 1);
+            grantAll(new FirstTokenPolicy(() => 900_000, undefined, counting), 1);
             assert.ok(weighed < offered / 10, `${weighed} of ${offered}`);
         });
     });
--- a/src/upstream/choice/index.ts
+++ b/src/upstream/selectionPolicy/index.ts
@@ -6,7 +6,7 @@
 import { medianTokenMs } from "../stragglers/index.js";
 
 /** Properties of a request that the selection of an upstream depends on. */
-export interface ChoiceRequest {
+export interface SelectionRequest {
     readonly request: RequestId;
     readonly pool: PoolId;
     /** Parts of the prompt with their sizes; empty if unknown. */
@@ -53,12 +53,12 @@
 }
 
 /** Selects the upstream for the next request of a pool's queue. */
-export abstract class UpstreamChoice {
+export abstract class SelectionPolicy {
     /**
      * Maximum number of candidates offered to `choose`. A policy that weighs each one in full gets a sample of a large
      * pool.
      */
-    readonly mostCandidates: number = 32;
+    readonly maxCandidates: number = 32;
 
     /**
      * Selects one of the candidates.
@@ -66,13 +66,13 @@
      * @param candidates - Members with a free slot; at least one.
      * @param request - The request to be sent.
      */
-    abstract choose(candidates: readonly UpstreamLoad[], request: ChoiceRequest): Choice;
+    abstract choose(candidates: readonly UpstreamLoad[], request: SelectionRequest): Choice;
 
     /** Called when a request has been granted to the selected upstream. */
-    granted(_choice: Choice, _request: ChoiceRequest): void {}
+    granted(_choice: Choice, _request: SelectionRequest): void {}
 
     /** Called for a running request granted by another process, with the time it has been running in milliseconds. */
-    adopted(_load: UpstreamLoad, _request: ChoiceRequest, _runningMs: number): void {}
+    adopted(_load: UpstreamLoad, _request: SelectionRequest, _runningMs: number): void {}
 
     /** Called when tokens of a granted request have arrived; `isFirst` for the first of them. */
     progressed(_request: RequestId, _isFirst: boolean, _now: number): void {}
@@ -88,19 +88,19 @@
      *
      * @param now - Monotonic time, in milliseconds.
      */
-    readingLoad(_now: number): number | undefined {
+    prefillLoad(_now: number): number | undefined {
         return undefined;
     }
 
     /** Called with the prompt parts that an upstream reports to hold. */
-    learnHeld(_upstream: UpstreamId, _parts: readonly PromptPart[], _now: number): void {}
+    recordHeldParts(_upstream: UpstreamId, _parts: readonly PromptPart[], _now: number): void {}
 
     /** Called when an upstream has ended or restarted. */
     forget(_upstream: UpstreamId): void {}
 }
 
 /** Baseline: selects the candidates in turn. */
-export class RoundRobinChoice extends UpstreamChoice {
+export class RoundRobinPolicy extends SelectionPolicy {
     private readonly lastTurn = new Map<UpstreamId, number>();
     private turn = 0;
 
@@ -113,7 +113,7 @@
 }
 
 /** Baseline: selects the candidate with the fewest requests relative to its slots. */
-export class LeastOutstandingChoice extends UpstreamChoice {
+export class LeastOutstandingPolicy extends SelectionPolicy {
     choose(candidates: readonly UpstreamLoad[]): Choice {
         const load = candidates.reduce((best, other) => utilization(other) < utilization(best) ? other : best);
         return { load, reason: `least outstanding (${load.outstanding})` };
@@ -121,7 +121,7 @@
 }
 
 /** Baseline: selects the better of two random candidates, which avoids that many entries select the same one. */
-export class TwoRandomChoices extends UpstreamChoice {
+export class TwoRandomChoicesPolicy extends SelectionPolicy {
     constructor(private readonly random: Random) {
         super();
     }
@@ -158,7 +158,7 @@
  * Selects the upstream on which the answer will probably end first. The estimate in milliseconds adds up the prefill of
  * the uncached prompt, the observed time per token, the slowdown by the batch, and the latency to its zone.
  */
-export class ExpectedTimeChoice extends UpstreamChoice {
+export class ExpectedTimePolicy extends SelectionPolicy {
     constructor(
         private readonly prefixes: PrefixIndex,
         private readonly weights: ExpectedTimeWeights = DEFAULT_EXPECTED_TIME_WEIGHTS,
@@ -166,7 +166,7 @@
         super();
     }
 
-    choose(candidates: readonly UpstreamLoad[], request: ChoiceRequest): Choice {
+    choose(candidates: readonly UpstreamLoad[], request: SelectionRequest): Choice {
         const median = medianTokenMs(candidates) ?? this.weights.defaultTokenMs;
         let best = candidates[0];
         let bestMs = Infinity;
@@ -180,7 +180,7 @@
         return { load: best, reason: `expected ${Math.round(bestMs)} ms, ${cached}% of prefixes cached` };
     }
 
-    private expectedMs(load: UpstreamLoad, request: ChoiceRequest, medianMs: number): number {
+    private expectedMs(load: UpstreamLoad, request: SelectionRequest, medianMs: number): number {
         const cached = this.prefixes.cachedShare(request.prefixes, load.upstream.id);
         const prefillMs = request.promptTokens * (1 - cached) * this.weights.prefillTokenMs;
         const paceMs = (load.tokenMs ?? medianMs) * request.predictedTokens;
--- a/src/upstream/stragglers/test.ts
+++ b/src/upstream/stragglers/test.ts
@@ -8,7 +8,7 @@
 function makeLoads(paces: readonly number[]): UpstreamLoad[] {
     return paces.map((pace, index) => {
         const load = new UpstreamLoad(new Upstream(makeAnnouncement({ id: `u${index}` }), 0, true));
-        for (let sample = 0; sample < 5; sample++) load.learnPace(pace);
+        for (let sample = 0; sample < 5; sample++) load.recordTokenMs(pace);
         return load;
     });
 }
@@ -38,11 +38,11 @@
         const straggler = loads[3];
         assert.equal(straggler.freeSlots(1_999), 0);
         assert.equal(straggler.freeSlots(2_000), 1);
-        straggler.learnPace(100);
+        straggler.recordTokenMs(100);
         assert.deepEqual(policy.review(loads, 2_500), [straggler]);
         assert.equal(straggler.freeSlots(6_400), 0);
         assert.equal(straggler.freeSlots(6_500), 1);
-        straggler.learnPace(31);
+        straggler.recordTokenMs(31);
         policy.review(loads, 7_000);
         assert.equal(straggler.ejected, false);
     });
--- a/src/upstream/upstream/index.ts
+++ b/src/upstream/upstream/index.ts
@@ -20,10 +20,10 @@
 
     /**
      * @param announcement - First announcement received.
-     * @param heardAt - Monotonic time at which it left the upstream, in milliseconds.
+     * @param announcedAt - Monotonic time at which it left the upstream, in milliseconds.
      * @param firstHand - Whether it was received from the upstream itself, not from another entry.
      */
-    constructor(announcement: Announcement, public heardAt: number, public firstHand: boolean) {
+    constructor(announcement: Announcement, public announcedAt: number, public firstHand: boolean) {
         this.id = announcement.id as UpstreamId;
         this.newest = announcement;
         this.parsedAddress = parseAddress(announcement.address) ?? UNKNOWN_ADDRESS;
@@ -65,7 +65,7 @@
 
     /** Monotonic time until which it can serve only few requests per second, in milliseconds. */
     get coldUntil(): number {
-        return Math.max(this.assumedColdUntil, this.heardAt + (this.newest.cold_ms ?? 0));
+        return Math.max(this.assumedColdUntil, this.announcedAt + (this.newest.cold_ms ?? 0));
     }
 
     /**
@@ -73,12 +73,12 @@
      * milliseconds.
      */
     get aliveAt(): number {
-        return Math.max(this.heardAt, this.confirmedAt);
+        return Math.max(this.announcedAt, this.confirmedAt);
     }
 
     /** Monotonic time at which the reported load was measured, in milliseconds. */
     get loadMeasuredAt(): number {
-        return this.heardAt - this.newest.load.age_ms;
+        return this.announcedAt - this.newest.load.age_ms;
     }
 
     /**
@@ -99,7 +99,7 @@
             this.parsedAddress = parseAddress(announcement.address) ?? UNKNOWN_ADDRESS;
         }
         this.newest = announcement;
-        this.heardAt = announcedAt;
+        this.announcedAt = announcedAt;
         this.firstHand = firstHand;
         this.isSilent = false;
     }
--- a/src/upstream/upstreamRegistry/index.ts
+++ b/src/upstream/upstreamRegistry/index.ts
@@ -4,7 +4,7 @@
 import { isSameMembership, Upstream } from "../upstream/index.js";
 
 /** An announcement passed from one entry to another. */
-export interface SpreadRecord {
+export interface AnnouncementRecord {
     readonly announcement: Announcement;
     /** Time between the sending by the upstream and the creation of this record, in milliseconds. */
     readonly ageMs: number;
@@ -19,7 +19,7 @@
 export interface RegistryChanges {
     /** Version to pass to the next call of `changesSince`. */
     readonly version: number;
-    readonly records: readonly SpreadRecord[];
+    readonly records: readonly AnnouncementRecord[];
 }
 
 /**
@@ -30,7 +30,7 @@
  * `membership`: the same, if anything but load and caches has changed;
  * `all`: other relayed records too, for a process that starts.
  */
-export type SpreadScope = "heard" | "membership" | "all";
+export type ChangeScope = "heard" | "membership" | "all";
 
 /** Time limits of the registry. */
 export interface RegistryTiming {
@@ -102,8 +102,8 @@
      * @param now - Monotonic time of their arrival, in milliseconds.
      * @returns How many were newer than the known announcements.
      */
-    merge(records: readonly SpreadRecord[], now: number = this.clock.monotonic()): number {
-        const isNew = (record: SpreadRecord): boolean => {
+    merge(records: readonly AnnouncementRecord[], now: number = this.clock.monotonic()): number {
+        const isNew = (record: AnnouncementRecord): boolean => {
             if (record.announcement.state === "ready" && record.ageMs >= this.timing.silentAfterMs) return false;
             return this.accept(record.announcement, now - record.ageMs, false);
         };
@@ -121,9 +121,9 @@
      * @param version - Version from an earlier call; 0 for the start.
      * @param scope - Selects which changes are included.
      */
-    changesSince(version: number, scope: SpreadScope = "heard"): RegistryChanges {
+    changesSince(version: number, scope: ChangeScope = "heard"): RegistryChanges {
         const now = this.clock.monotonic();
-        const records: SpreadRecord[] = [];
+        const records: AnnouncementRecord[] = [];
         for (let index = this.changeLog.length - 1; index >= 0 && this.changeLog[index].version > version; index--) {
             const change = this.changeLog[index];
             const upstream = this.upstreams.get(change.id);
@@ -132,7 +132,7 @@
             const isRelayedReady = relayed && upstream.announcement.state === "ready";
             if (scope !== "all" && isRelayedReady) continue;
             if (scope === "membership" && this.membershipVersions.get(change.id)! <= version) continue;
-            const ageMs = now - upstream.heardAt;
+            const ageMs = now - upstream.announcedAt;
             records.push({ announcement: upstream.announcement, ageMs, ...(relayed && { relayed }) });
         }
         return { version: this.version, records };
--- a/src/upstream/upstreamWork/index.ts
+++ b/src/upstream/upstreamWork/index.ts
@@ -1,10 +1,10 @@
 import { UpstreamId } from "../../ids/index.js";
-import { ChoiceRequest } from "../choice/index.js";
 import { MemoryDemand, MemoryUse } from "../memoryUse/index.js";
 import { PauseForecast } from "../pauseForecast/index.js";
 import { PendingPrefill, PrefillQueue } from "../prefillClock/index.js";
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
 import { PrefillHistory, PrefillPeriod } from "../readingHistory/index.js";
+import { SelectionRequest } from "../selectionPolicy/index.js";
 
 /**
  * How long a working upstream may show no progress beyond its pending prefill, in milliseconds: entries report progress
@@ -17,7 +17,7 @@
 const DEFAULT_TOKEN_MS = 10;
 
 /** Fields that determine which pause is too long for a stream. */
-type PauseLimits = Pick<ChoiceRequest, "gapMs" | "eventTokens">;
+type PauseLimits = Pick<SelectionRequest, "gapMs" | "eventTokens">;
 
 /** A granted request that has not ended. */
 export interface GrantedRequest extends PauseLimits, MemoryDemand {
@@ -55,7 +55,7 @@
     }
 
     /** Records that a request is sent there. Running streams pause during the current prefill period. */
-    begin(request: ChoiceRequest, work: PrefillWork): GrantedRequest {
+    begin(request: SelectionRequest, work: PrefillWork): GrantedRequest {
         const { now, promptTokens } = request;
         const prefill = this.prefillQueue.add(work, now);
         const period = this.prefillHistory.record(now + this.prefillQueue.backlogMs(now), promptTokens, now);
@@ -69,7 +69,7 @@
      * Records a request granted by another process that has been running for `runningMs` milliseconds. Whether it has
      * produced a token is unknown; most have.
      */
-    adopt(request: ChoiceRequest, runningMs: number): GrantedRequest {
+    adopt(request: SelectionRequest, runningMs: number): GrantedRequest {
         return this.add(request, request.now - runningMs, undefined);
     }
 
@@ -107,7 +107,7 @@
      * Returns the expected number of running streams that would pause for too long beside this prompt, and would not
      * without it.
      */
-    countStalledStreams({ promptTokens, now }: ChoiceRequest, work: PrefillWork): number {
+    countStalledStreams({ promptTokens, now }: SelectionRequest, work: PrefillWork): number {
         const endsAt = now + this.prefillQueue.backlogMs(now) + this.prefillQueue.prefillMs(work);
         const period = this.prefillHistory.extend(endsAt, promptTokens, now);
         let count = 0;
@@ -122,14 +122,14 @@
      *
      * @param tokenMs - Observed time between two tokens there, in milliseconds; undefined if none was observed.
      */
-    stallProbability(request: ChoiceRequest, tokenMs: number | undefined): number {
+    stallProbability(request: SelectionRequest, tokenMs: number | undefined): number {
         if (request.gapMs === undefined) return 0;
         const overrunOf = (period: PrefillPeriod): number => this.overrunProbability(period, request);
         const runningMs = request.predictedTokens * (tokenMs ?? DEFAULT_TOKEN_MS);
         return this.prefillHistory.harmProbability(overrunOf, runningMs, request.now);
     }
 
-    private add(request: ChoiceRequest, startedAt: number, prefill: PendingPrefill | undefined): GrantedRequest {
+    private add(request: SelectionRequest, startedAt: number, prefill: PendingPrefill | undefined): GrantedRequest {
         const { upstream } = this;
         const { parts, promptTokens, predictedTokens, gapMs, eventTokens, now } = request;
         if (this.running.size === 0) this.lastProgressAt = now;
--- a/src/zone/zoneBook/index.ts
+++ b/src/zone/evacuationTable/index.ts
@@ -43,7 +43,7 @@
  * @example
  * const result = table.apply({ kind: "zone.evacuate", zone }, context.index);
  */
-export class ZoneBook {
+export class EvacuationTable {
     private readonly evacuated = new Map<ZoneId, EvacuatedZone>();
     private latestRevision = 0 as Revision;
 
--- a/src/zone/zoneBook/test.ts
+++ b/src/zone/evacuationTable/test.ts
@@ -2,7 +2,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ZoneId } from "../../ids/index.js";
-import { ZoneBook, ZoneCommand } from "./index.js";
+import { EvacuationTable, ZoneCommand } from "./index.js";
 
 const VOGAR = "vogar" as ZoneId;
 const KEFLAVIK = "keflavik" as ZoneId;
@@ -10,7 +10,7 @@
 describe("EvacuationTable", () => {
     describe("apply", () => {
         it("evacuates a zone and restores it, each with the revision of its command", () => {
-            const table = new ZoneBook();
+            const table = new EvacuationTable();
             assert.deepEqual(table.apply({ kind: "zone.evacuate", zone: VOGAR }, 4), { state: "changed", revision: 4 });
             assert.equal(table.isEvacuated(VOGAR), true);
             assert.equal(table.isEvacuated(KEFLAVIK), false);
@@ -19,7 +19,7 @@
         });
 
         it("changes nothing when the same command is sent again after a lost answer", () => {
-            const table = new ZoneBook();
+            const table = new EvacuationTable();
             table.apply({ kind: "zone.evacuate", zone: VOGAR }, 4);
             const again = table.apply({ kind: "zone.evacuate", zone: VOGAR }, 5);
             assert.deepEqual(again, { state: "unchanged", revision: 4 });
@@ -27,7 +27,7 @@
         });
 
         it("evacuates several zones, even all of them", () => {
-            const table = new ZoneBook();
+            const table = new EvacuationTable();
             table.apply({ kind: "zone.evacuate", zone: VOGAR }, 1);
             table.apply({ kind: "zone.evacuate", zone: KEFLAVIK }, 2);
             assert.deepEqual(table.list().map(({ zone }) => zone), [KEFLAVIK, VOGAR]);
@@ -41,8 +41,8 @@
                 zone: fc.constantFrom(VOGAR, KEFLAVIK),
             });
             fc.assert(fc.property(fc.array(command), fc.nat(), (commands, at) => {
-                const whole = new ZoneBook();
-                const restored = new ZoneBook();
+                const whole = new EvacuationTable();
+                const restored = new EvacuationTable();
                 const cut = at % (commands.length + 1);
                 commands.slice(0, cut).forEach((each, index) => whole.apply(each, index + 1));
                 restored.restore(whole.snapshot());
@@ -55,7 +55,7 @@
         });
 
         it("restores no evacuation from a snapshot that is older than the feature", () => {
-            const table = new ZoneBook();
+            const table = new EvacuationTable();
             table.apply({ kind: "zone.evacuate", zone: VOGAR }, 4);
             table.restore(undefined);
             assert.deepEqual(table.snapshot(), { revision: 0, evacuated: [] });
--- a/src/zone/index.ts
+++ b/src/zone/index.ts
@@ -2,4 +2,4 @@
  * Evacuation of availability zones by an operator: nothing is sent to the upstreams of an evacuated zone until it is
  * restored.
  */
-export * from "./zoneBook/index.js";
+export * from "./evacuationTable/index.js";
