--- a/src/bench/policy/callerFake/index.ts
+++ b/src/bench/policy/callerFake/index.ts
@@ -89,7 +89,7 @@
     private async callEntry(entry: Entry, record: RequestRecord): Promise<AttemptOutcome | undefined> {
         const budget = this.budgetOf(entry);
         const avoid: UpstreamId[] = [];
-        budget.noteFirstAttempt();
+        budget.recordFirstAttempt();
         for (;;) {
             const ticket = this.makeTicket(entry, record, avoid);
             let preempt = (): void => undefined;
--- a/src/control/controlState/index.ts
+++ b/src/control/controlState/index.ts
@@ -1,7 +1,7 @@
 import { ApplyContext, StateMachine } from "../../consensus/index.js";
 import { Revision } from "../../ids/index.js";
 import { CallLedger, CallRecord, FinishCallCommand, LedgerChange } from "../../ledger/index.js";
-import { OrderBook, OrderIntentCommand, OrderOutcomeCommand, OrderSnapshot } from "../../order/index.js";
+import { OrderIntentCommand, OrderLedger, OrderOutcomeCommand, OrderSnapshot } from "../../order/index.js";
 import {
     LiftQuarantineCommand,
     QuarantineCommand,
@@ -101,7 +101,7 @@
     readonly ledger = new CallLedger();
     readonly usage = new UsageBook();
     readonly spend = new SpendBook();
-    readonly orders = new OrderBook();
+    readonly orders = new OrderLedger();
     readonly directory = new ControlDirectory();
     readonly documents = new DocumentStore();
     readonly starts = new StartsBook();
--- a/src/daemon/runControl/index.ts
+++ b/src/daemon/runControl/index.ts
@@ -12,7 +12,7 @@
 } from "../../control/index.js";
 import { EntryProcess, serveAnnouncements, startQueueHost } from "../../entry/index.js";
 import { Lifecycle } from "../../lifecycle/index.js";
-import { OwnDialect } from "../../passthrough/index.js";
+import { NativeDialect } from "../../passthrough/index.js";
 import { Address, DEFAULT_HTTP_LIMITS, FileDisk } from "../../ports/index.js";
 import { CoverPurchase, DEFAULT_FORECAST } from "../../purchase/index.js";
 import { ControlSettings } from "../../settings/index.js";
@@ -84,7 +84,7 @@
         peers: listen.peers,
         sharedRouter: router,
         controlPeers: control.members.map(member => member.address),
-        dialect: new OwnDialect(),
+        dialect: new NativeDialect(),
         timing,
         windowMs: usage.windowMs,
     });
--- a/src/daemon/runEntry/index.ts
+++ b/src/daemon/runEntry/index.ts
@@ -1,7 +1,7 @@
 import { EntryAdminServer } from "../../control/index.js";
 import { DEFAULT_ENTRY_LIMITS, EntryProcess, ProcessAdmin } from "../../entry/index.js";
 import { Lifecycle } from "../../lifecycle/index.js";
-import { DEFAULT_REPEAT_LIMITS, OwnDialect } from "../../passthrough/index.js";
+import { DEFAULT_REPEAT_LIMITS, NativeDialect } from "../../passthrough/index.js";
 import { DEFAULT_HTTP_LIMITS, HttpHandler } from "../../ports/index.js";
 import { EntrySettings } from "../../settings/index.js";
 import { DaemonPorts, DaemonProcess } from "../daemonPorts/index.js";
@@ -50,7 +50,7 @@
         balancerMs: stop.balancerMs,
         routes: listen.routes && {
             callers: listen.routes,
-            dialect: new OwnDialect(),
+            dialect: new NativeDialect(),
             repeats: DEFAULT_REPEAT_LIMITS,
             startsWindowMs: usage.windowMs,
         },
--- a/src/dispatch/attemptBudget/index.ts
+++ b/src/dispatch/attemptBudget/index.ts
@@ -76,7 +76,7 @@
     }
 
     /** Records the first attempt of a request. */
-    noteFirstAttempt(): void {
+    recordFirstAttempt(): void {
         this.bucket.deposit(this.limits.ratio);
     }
 
--- a/src/dispatch/attemptBudget/test.ts
+++ b/src/dispatch/attemptBudget/test.ts
@@ -18,7 +18,7 @@
             let retries = 0;
             for (let second = 0; second < 100; second++) {
                 for (let request = 0; request < 100; request++) {
-                    budget.noteFirstAttempt();
+                    budget.recordFirstAttempt();
                     if (budget.tryTake(true)) retries++;
                 }
                 await clock.advance(1_000);
--- a/src/dispatch/dispatcher/index.ts
+++ b/src/dispatch/dispatcher/index.ts
@@ -34,7 +34,7 @@
      * @param perSecond - Requests per second from all hosts together; undefined when the answer states no limit.
      * @param ageMs - Time since the answer arrived, in milliseconds; 0 by default.
      */
-    abstract noteLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs?: number): void;
+    abstract recordLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs?: number): void;
 
     /**
      * Registers a listener that is called when a running request must give up its slot to a higher tier: it should
--- a/src/dispatch/localDispatcher/index.ts
+++ b/src/dispatch/localDispatcher/index.ts
@@ -85,7 +85,7 @@
         if (pool !== undefined) this.queueOf(pool).progress(request, tokens);
     }
 
-    noteLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs = 0): void {
+    recordLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined, ageMs = 0): void {
         this.queues.get(pool)?.recordLimit(upstream, perSecond, ageMs);
     }
 
@@ -141,12 +141,12 @@
      * Returns the number of upstreams kept busy by the prefill of a pool's prompts; undefined where that is not
      * tracked.
      */
-    readingLoad(pool: PoolId): number | undefined {
+    prefillLoad(pool: PoolId): number | undefined {
         return this.queues.get(pool)?.prefillLoad();
     }
 
     /** Records parts of prompts that an upstream reports to have cached. */
-    learnHeld(pool: PoolId, upstream: UpstreamId, parts: readonly PromptPart[]): void {
+    recordHeldParts(pool: PoolId, upstream: UpstreamId, parts: readonly PromptPart[]): void {
         this.queueOf(pool).recordHeldParts(upstream, parts);
     }
 
--- a/src/entry/cacheDiscovery/index.ts
+++ b/src/entry/cacheDiscovery/index.ts
@@ -92,7 +92,7 @@
         listed
             .ifLeft(err => logger.warn("cache-not-listed", { pool, upstream: id, problem: err.message }))
             .ifRight(parts => {
-                local.learnHeld(pool, id, parts);
+                local.recordHeldParts(pool, id, parts);
                 logger.info("cache-listed", { pool, upstream: id, parts: parts.length });
             });
     }
--- a/src/entry/demandReporter/index.ts
+++ b/src/entry/demandReporter/index.ts
@@ -72,7 +72,7 @@
         return {
             pool,
             tiers: describeTiers(local, pool),
-            readingLoad: local.readingLoad(pool),
+            readingLoad: local.prefillLoad(pool),
             upstreams: registry.list(pool).map(upstream => describeUpstream(upstream, now)),
         };
     }
--- a/src/entry/fleetDispatcher/index.ts
+++ b/src/entry/fleetDispatcher/index.ts
@@ -195,7 +195,7 @@
         sums.set(request, (sums.get(request) ?? 0) + tokens);
     }
 
-    noteLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined): void {
+    recordLimit(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined): void {
         this.limitExchange.recordAnswer(pool, upstream, perSecond);
     }
 
--- a/src/entry/fleetRouteView/index.ts
+++ b/src/entry/fleetRouteView/index.ts
@@ -25,7 +25,7 @@
         return this.cache.routes;
     }
 
-    async whenKnown(limitMs: number, signal: AbortSignal): Promise<void> {
+    async waitForRoutes(limitMs: number, signal: AbortSignal): Promise<void> {
         const deadline = this.clock.monotonic() + limitMs;
         while (!this.routes() && !signal.aborted) {
             const leftMs = deadline - this.clock.monotonic();
--- a/src/entry/reportRequestLimit/index.ts
+++ b/src/entry/reportRequestLimit/index.ts
@@ -14,5 +14,5 @@
 ): void {
     const limit = readRequestLimit(findHeader(headers, REQUEST_LIMIT_HEADER));
     if (Number.isNaN(limit)) logger.warn("request-limit-unreadable", { upstream, request });
-    else dispatcher.noteLimit(pool, upstream, limit);
+    else dispatcher.recordLimit(pool, upstream, limit);
 }
--- a/src/entry/requestLimitExchange/index.ts
+++ b/src/entry/requestLimitExchange/index.ts
@@ -14,7 +14,7 @@
     readonly metrics: Metrics;
     readonly self: HostId;
     readonly directory: Pick<PeerDirectory, "linkTo">;
-    readonly local: Pick<LocalDispatcher, "noteLimit">;
+    readonly local: Pick<LocalDispatcher, "recordLimit">;
     /** Returns the owner of a pool's queue. */
     readonly ownerOf: (pool: PoolId) => HostId;
 }
@@ -38,7 +38,7 @@
     recordAnswer(pool: PoolId, upstream: UpstreamId, perSecond: number | undefined): void {
         const { self, local, directory, ownerOf } = this.options;
         if (!this.record(pool, upstream, perSecond, 0)) return;
-        local.noteLimit(pool, upstream, perSecond);
+        local.recordLimit(pool, upstream, perSecond);
         const owner = ownerOf(pool);
         const notice: LimitNotice = { pool, upstream, perSecond };
         if (owner !== self) directory.linkTo(owner)?.notify(DISPATCH_METHODS.limit, notice);
--- a/src/entry/routeService/index.ts
+++ b/src/entry/routeService/index.ts
@@ -129,7 +129,7 @@
             view,
             repeats: new RepeatBudget(clock, settings.repeats),
             starts: this.startMeter,
-            mayNotSendTo: id => {
+            isUpstreamClosed: id => {
                 const upstream = registry.get(id);
                 return LEAVING_STATES.includes(upstream?.state) || upstream?.isZoneEvacuated === true;
             },
--- a/src/entry/runChat/index.ts
+++ b/src/entry/runChat/index.ts
@@ -67,7 +67,7 @@
         const { ctx, prepared, run, sink } = this.options;
         run.recordGrant(grant);
         ctx.metrics.histogram("wait_ms", grant.waitedMs, this.tags());
-        if (this.attemptCount++ === 0) ctx.retryBudget.noteFirstAttempt();
+        if (this.attemptCount++ === 0) ctx.retryBudget.recordFirstAttempt();
         const sentAtMs = run.ageMs();
         const attempt = await sendChat(ctx, prepared, run, grant, sink);
         this.mayHaveRun ||= attempt.mayHaveRun;
--- a/src/entry/runService/index.ts
+++ b/src/entry/runService/index.ts
@@ -85,7 +85,7 @@
 ): Promise<ServiceResult> {
     const avoid: UpstreamId[] = [];
     let mayHaveRun = false;
-    ctx.retryBudget.noteFirstAttempt();
+    ctx.retryBudget.recordFirstAttempt();
     for (;;) {
         const decision = await ctx.dispatcher.submit(makeTicket(prepared, run, self, avoid), run.signal);
         if (decision.isLeft()) return errorResult(describeRefusal(run, decision.extract() as Refusal, mayHaveRun));
--- a/src/entry/ticketServer/index.ts
+++ b/src/entry/ticketServer/index.ts
@@ -94,7 +94,7 @@
         router.add(DISPATCH_METHODS.adopt, (body, channel) => this.adopt(body as AdoptNotice, channel));
         router.add(DISPATCH_METHODS.limit, body => {
             const { pool, upstream, perSecond } = body as LimitNotice;
-            this.local.noteLimit(pool, upstream, perSecond);
+            this.local.recordLimit(pool, upstream, perSecond);
         });
         router.add(DISPATCH_METHODS.progress, body => {
             for (const { request, tokens } of body as ProgressNotice) this.local.progress(request, tokens);
--- a/src/faultInjection/routedFleet/index.ts
+++ b/src/faultInjection/routedFleet/index.ts
@@ -5,7 +5,7 @@
 import { HostId, Incarnation, PoolId, ZoneId } from "../../ids/index.js";
 import { SilentLogger } from "../../logging/index.js";
 import { NoMetrics } from "../../metrics/index.js";
-import { CALL_HEADERS, OwnDialect } from "../../passthrough/index.js";
+import { CALL_HEADERS, NativeDialect } from "../../passthrough/index.js";
 import {
     Address,
     DEFAULT_HTTP_LIMITS,
@@ -139,7 +139,7 @@
             peers: controlAddress(number),
             sharedRouter: this.controls[number]!.router,
             controlPeers: this.seedAddresses(),
-            dialect: new OwnDialect(),
+            dialect: new NativeDialect(),
             timing: PEER_TIMING,
             registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: 4 * ANNOUNCEMENT_INTERVAL_MS },
             windowMs: 5_000,
@@ -190,7 +190,7 @@
             balancerMs: 500,
             routes: {
                 callers: { host, port: PORTS.callers },
-                dialect: new OwnDialect(),
+                dialect: new NativeDialect(),
                 repeats: { ratio: 0.2, windowMs: 10_000, slack: 1_000 },
                 startsWindowMs: 5_000,
             },
--- a/src/order/orderBook/index.ts
+++ b/src/order/orderLedger/index.ts
@@ -85,7 +85,7 @@
  * @example
  * ledger.intend(command, context);
  */
-export class OrderBook {
+export class OrderLedger {
     private readonly open = new Map<OrderId, OrderRecord>();
     private readonly finished = new Map<OrderId, OrderRecord>();
     private highestToken = 0;
--- a/src/passthrough/callContext/index.ts
+++ b/src/passthrough/callContext/index.ts
@@ -25,7 +25,7 @@
      * @param limitMs - Maximum wait, in milliseconds.
      * @param signal - Aborts the wait.
      */
-    abstract whenKnown(limitMs: number, signal: AbortSignal): Promise<void>;
+    abstract waitForRoutes(limitMs: number, signal: AbortSignal): Promise<void>;
 
     /** Returns the number of entries, including this one. */
     abstract entryCount(): number;
@@ -50,7 +50,7 @@
     readonly starts: StartMeter;
     readonly time: TrueTime;
     /** Whether this entry has received an update that an upstream is leaving or gone, or that its zone is evacuated. */
-    readonly mayNotSendTo: (upstream: UpstreamId) => boolean;
+    readonly isUpstreamClosed: (upstream: UpstreamId) => boolean;
     /** Whether a planned stop has begun: each answer then closes its connection. */
     readonly isDraining: () => boolean;
 }
--- a/src/passthrough/callDialect/index.ts
+++ b/src/passthrough/callDialect/index.ts
@@ -30,7 +30,7 @@
 }
 
 /** Fields that this system adds to a call for the upstream. */
-export interface SendMarks {
+export interface UpstreamCallFields {
     /** The intended upstream; any other one at the address must refuse the call. */
     readonly upstream: UpstreamId;
     /** Undefined where the route needs no key. */
@@ -87,7 +87,7 @@
     abstract readHead(req: HttpRequest): Either<CallError, CallHead>;
 
     /** Returns the headers for the upstream: the forwarded ones and those of this system. */
-    abstract writeHead(head: CallHead, marks: SendMarks): HeaderList;
+    abstract writeHead(head: CallHead, fields: UpstreamCallFields): HeaderList;
 
     /** Parses the head of an upstream's answer. */
     abstract readReply(reply: HttpReply): ReplyHead;
--- a/src/passthrough/index.ts
+++ b/src/passthrough/index.ts
@@ -6,7 +6,7 @@
 export * from "./callError/index.js";
 export * from "./endToEndHeaders/index.js";
 export * from "./eventScanner/index.js";
-export * from "./ownDialect/index.js";
+export * from "./nativeDialect/index.js";
 export * from "./readRequestLimit/index.js";
 export * from "./repeatBudget/index.js";
 export * from "./serveCalls/index.js";
--- a/src/passthrough/ownDialect/index.ts
+++ b/src/passthrough/nativeDialect/index.ts
@@ -10,7 +10,7 @@
     CallHead,
     ErrorReply,
     ReplyHead,
-    SendMarks,
+    UpstreamCallFields,
     UpstreamQuery,
 } from "../callDialect/index.js";
 import { CallError } from "../callError/index.js";
@@ -63,7 +63,7 @@
 const BEARER_PATTERN = /^bearer +(\S+)$/i;
 
 /** Sequoiamux's own dialect of routed calls: keys as bearer tokens, and headers that begin with `x-sequoiamux-`. */
-export class OwnDialect extends CallDialect {
+export class NativeDialect extends CallDialect {
     readHead({ headers }: HttpRequest): Either<CallError, CallHead> {
         const request = findHeader(headers, CALL_HEADERS.request);
         if (!request) return Left(new CallError("malformed", `a call needs a ${CALL_HEADERS.request} header`));
@@ -85,8 +85,8 @@
         });
     }
 
-    writeHead(head: CallHead, marks: SendMarks): HeaderList {
-        const { upstream, workspace, deadlineMs, priority, lastEventId, fetchFrom } = marks;
+    writeHead(head: CallHead, fields: UpstreamCallFields): HeaderList {
+        const { upstream, workspace, deadlineMs, priority, lastEventId, fetchFrom } = fields;
         const added: [string, string][] = [
             [CALL_HEADERS.deadlineMs, String(deadlineMs)],
             [CALL_HEADERS.upstream, upstream],
--- a/src/passthrough/prepareCall/index.ts
+++ b/src/passthrough/prepareCall/index.ts
@@ -110,7 +110,7 @@
         MAX_FIRST_DOCUMENT_WAIT_MS,
         FIRST_DOCUMENT_WAIT_RATIO * (deadlineMs ?? Number.POSITIVE_INFINITY),
     );
-    await ctx.view.whenKnown(limitMs, req.closed);
+    await ctx.view.waitForRoutes(limitMs, req.closed);
     return ctx.view.routes();
 }
 
--- a/src/passthrough/runCall/index.ts
+++ b/src/passthrough/runCall/index.ts
@@ -87,7 +87,7 @@
     const decision = await ctx.dispatcher.submit(makeTicket(task), run.signal);
     if (decision.isLeft()) return endWithRefusal(task, decision.extract() as Refusal);
     const grant = decision.extract() as Grant;
-    if (ctx.mayNotSendTo(grant.upstream)) return declineGrant(task, grant);
+    if (ctx.isUpstreamClosed(grant.upstream)) return declineGrant(task, grant);
     const error = recheckKey(ctx, call) ?? checkQuarantine(ctx, call);
     if (run.isCancelled || error) {
         completeGrant(task, grant, "unused");
--- a/src/passthrough/sendCall/index.ts
+++ b/src/passthrough/sendCall/index.ts
@@ -109,7 +109,7 @@
     if (Number.isNaN(requestLimit)) {
         ctx.logger.warn("request-limit-unreadable", { upstream, request: call.head.request });
     }
-    else ctx.dispatcher.noteLimit(call.pool, upstream, requestLimit);
+    else ctx.dispatcher.recordLimit(call.pool, upstream, requestLimit);
 }
 
 /** Returns why an answer cannot belong to this call; undefined when it can. */
--- a/src/platform/platformDialect/index.ts
+++ b/src/platform/platformDialect/index.ts
@@ -10,7 +10,7 @@
     ErrorReply,
     readRequestLimit,
     ReplyHead,
-    SendMarks,
+    UpstreamCallFields,
     UpstreamQuery,
 } from "../../passthrough/index.js";
 import { findHeader, formatAddress, HeaderList, HttpReply, HttpRequest } from "../../ports/index.js";
@@ -96,8 +96,8 @@
         });
     }
 
-    writeHead(head: CallHead, marks: SendMarks): HeaderList {
-        const { upstream, workspace, deadlineMs, priority, lastEventId, fetchFrom } = marks;
+    writeHead(head: CallHead, fields: UpstreamCallFields): HeaderList {
+        const { upstream, workspace, deadlineMs, priority, lastEventId, fetchFrom } = fields;
         const added: [string, string][] = [
             [HEADER_NAMES.deadline, String(deadlineMs)],
             [HEADER_NAMES.expectInstance, upstream],
