--- a/src/daemon/runEntry/index.ts
+++ b/src/daemon/runEntry/index.ts
@@ -1,5 +1,5 @@
 import { EntryAdminServer } from "../../control/index.js";
-import { DEFAULT_ENTRY_LIMITS, EntryProcess, ProcessAdmin } from "../../entry/index.js";
+import { DEFAULT_ENTRY_LIMITS, EntryProcess, EntryProcessAdmin } from "../../entry/index.js";
 import { Lifecycle } from "../../lifecycle/index.js";
 import { DEFAULT_REPEAT_LIMITS, NativeDialect } from "../../passthrough/index.js";
 import { DEFAULT_HTTP_LIMITS, HttpHandler } from "../../ports/index.js";
@@ -60,8 +60,8 @@
     return { lifecycle, drain: () => entry.drain(stop.graceMs) };
 }
 
-function makeAdmin(ports: DaemonPorts, entry: EntryProcess, graceMs: number): ProcessAdmin {
-    return new ProcessAdmin({
+function makeAdmin(ports: DaemonPorts, entry: EntryProcess, graceMs: number): EntryProcessAdmin {
+    return new EntryProcessAdmin({
         clock: ports.clock,
         registry: entry.registry,
         local: entry.local,
--- a/src/entry/entryProcess/index.ts
+++ b/src/entry/entryProcess/index.ts
@@ -104,7 +104,7 @@
     readonly dispatcher: FleetDispatcher;
     readonly meter: UsageMeter;
     /** Service for calls routed by the fleet document; undefined where the options have no `routes`. */
-    readonly routes: RouteService | undefined;
+    readonly routeService: RouteService | undefined;
     private readonly lifecycle = new Lifecycle();
     private readonly router = new PeerRouter();
     private readonly cache = new ViewCache();
@@ -131,7 +131,7 @@
             ...options,
             router: this.router,
             lifecycle: this.lifecycle,
-            onOpen: channel => this.routes?.subscribeTo(channel),
+            onOpen: channel => this.routeService?.subscribeTo(channel),
         });
         this.client = this.makeClient();
         this.control = new FleetControl(this.client, this.cache);
@@ -184,7 +184,7 @@
             backup: new PeerBatchBackup(this.directory, self),
             control: this.control,
         });
-        this.routes = options.routes && this.makeRouteService(options.routes);
+        this.routeService = options.routes && this.makeRouteService(options.routes);
     }
 
     /**
@@ -227,13 +227,13 @@
         await clock.sleep(balancerMs);
         this.refusingRequests = true;
         this.local.drain();
-        void this.routes?.stopAccepting();
+        void this.routeService?.stopAccepting();
         const limit = new AbortController();
         const timer = clock.after(graceMs, () => limit.abort());
         await Promise.race([this.requests.whenIdle(), clock.sleep(graceMs, limit.signal)]);
         while (this.meter.backlog > 0 && !limit.signal.aborted) await clock.sleep(BACKLOG_POLL_MS);
         timer.cancel();
-        this.routes?.flushStarts();
+        this.routeService?.flushStarts();
         logger.info("drain-ended", { requests: this.requests.size, batches: this.meter.backlog });
         return this.requests.size === 0 && this.meter.backlog === 0;
     }
@@ -272,7 +272,7 @@
         const reporter = this.makeDemandReporter();
         lifecycle.child().run(running => reporter.run(running), onError);
         if (options.upstreams) await this.openUpstreams(options.upstreams);
-        await this.routes?.start(this.client, this.cache, this.controlLinks, lifecycle);
+        await this.routeService?.start(this.client, this.cache, this.controlLinks, lifecycle);
         if (options.routes) lifecycle.run(running => this.makeCacheDiscovery(options.routes!).run(running), onError);
         if (!options.callers) return;
         await this.awaitView(signal);
@@ -382,7 +382,7 @@
                 if (change.evacuatedZones) this.applyEvacuatedZones(change.evacuatedZones);
                 this.control.viewChanged();
                 this.crashMonitor.viewChanged();
-                this.routes?.viewChanged();
+                this.routeService?.viewChanged();
             },
             onControls: addresses => this.controlLinks.setMembers(addresses),
         });
--- a/src/entry/processAdmin/index.ts
+++ b/src/entry/entryProcessAdmin/index.ts
@@ -10,7 +10,7 @@
 export type HistogramSource = Pick<HistogramTable, "list">;
 
 /** Options of `ProcessAdmin`. */
-export interface ProcessAdminOptions {
+export interface EntryProcessAdminOptions {
     readonly clock: Clock;
     readonly registry: UpstreamRegistry;
     readonly local: LocalDispatcher;
@@ -23,8 +23,8 @@
 }
 
 /** Implements the operators' API for one entry process. */
-export class ProcessAdmin extends EntryAdmin {
-    constructor(private readonly options: ProcessAdminOptions) {
+export class EntryProcessAdmin extends EntryAdmin {
+    constructor(private readonly options: EntryProcessAdminOptions) {
         super();
     }
 
--- a/src/platform/runEntryNode/index.ts
+++ b/src/platform/runEntryNode/index.ts
@@ -57,7 +57,7 @@
         },
     });
     lifecycle.own(() => entry.close());
-    const isReady = (): boolean => entry.routes?.isReady ?? false;
+    const isReady = (): boolean => entry.routeService?.isReady ?? false;
     const health = await ports.http.serve(readiness, DEFAULT_HTTP_LIMITS, serveReadiness(isReady));
     lifecycle.own(() => health.close());
     return {
