--- a/src/bench/slopes/probes/entry/index.ts
+++ b/src/bench/slopes/probes/entry/index.ts
@@ -1,5 +1,5 @@
 import { DEFAULT_LOG_TIMING } from "../../../../consensus/index.js";
-import { ControlProcess, NoPurchases } from "../../../../control/index.js";
+import { ControlProcess, NoProvisioning } from "../../../../control/index.js";
 import { DEFAULT_ENTRY_LIMITS, EntryProcess } from "../../../../entry/index.js";
 import {
     ChangeId,
@@ -199,7 +199,7 @@
     const control = await ControlProcess.start({
         ...ports,
         disk,
-        peers,
+        peerAddress: peers,
         self: { host, incarnation: "1" as Incarnation },
         members: [{ host, address: peers }],
         logTiming: DEFAULT_LOG_TIMING,
@@ -208,7 +208,7 @@
         platform: {
             address: peers,
             checksFence: true,
-            purchasePolicy: new NoPurchases(),
+            purchasePolicy: new NoProvisioning(),
             purchasePeriodMs: LONG_TIMEOUT_MS,
         },
     });
--- a/src/control/controlProcess/index.ts
+++ b/src/control/controlProcess/index.ts
@@ -11,8 +11,8 @@
 import { HolderAnnouncer } from "../holderAnnouncer/index.js";
 import { HolderRunner, HolderTask } from "../holderRunner/index.js";
 import { OrderSender } from "../orderSender/index.js";
-import { PurchasePolicy, PurchaseRunner } from "../purchaseRunner/index.js";
-import { RoutingDuties, RoutingService } from "../routingService/index.js";
+import { ProvisioningPolicy, PurchaseRunner } from "../purchaseRunner/index.js";
+import { RoutingOptions, RoutingService } from "../routingService/index.js";
 import { UsageReporter } from "../usageReporter/index.js";
 import { UsageWindowCloser } from "../usageWindowCloser/index.js";
 
@@ -22,7 +22,7 @@
     /** The platform refuses messages with an outdated fencing token. */
     readonly checksFence: boolean;
     /** Decides which upstreams to start and stop. */
-    readonly purchasePolicy: PurchasePolicy;
+    readonly purchasePolicy: ProvisioningPolicy;
     /** Interval between runs of the purchase policy, in milliseconds. */
     readonly purchasePeriodMs: number;
 }
@@ -38,9 +38,9 @@
     readonly metrics?: Metrics;
     readonly self: PeerIdentity;
     /** Listen address for peer connections of entry and control processes. */
-    readonly peers: Address;
+    readonly peerAddress: Address;
     /** Address of the operators' API; undefined: other control processes can't redirect operators here. */
-    readonly operators?: Address;
+    readonly operatorAddress?: Address;
     /** Members with which the cluster is bootstrapped. */
     readonly members: readonly BootstrapMember[];
     readonly logTiming: LogTiming;
@@ -55,7 +55,7 @@
     /** Undefined: neither orders nor usage reports are sent. */
     readonly platform: PlatformAccess | undefined;
     /** Options for calls that are routed by the fleet document; undefined: there is no document routing. */
-    readonly routing?: RoutingDuties;
+    readonly routing?: RoutingOptions;
 }
 
 /**
@@ -83,7 +83,7 @@
      * @throws StoreError when the data folder is damaged or in use, NetworkError when the address is in use.
      */
     static async start(options: ControlProcessOptions): Promise<ControlProcess> {
-        const { clock, logTiming, timing, peers: address, members, viewLeaseMs, logger, routing } = options;
+        const { clock, logTiming, timing, peerAddress: address, members, viewLeaseMs, logger, routing } = options;
         const lifecycle = new Lifecycle();
         const router = new PeerRouter();
         const state = new ControlState();
@@ -95,7 +95,7 @@
             stateMachine: state,
             timing: logTiming,
             peerTiming: timing,
-            mayFound: routing?.mayFound,
+            mayFound: routing?.mayBootstrap,
             targetVoters: routing?.voters,
         });
         lifecycle.own(() => log.close());
@@ -143,7 +143,7 @@
 
     private makeRunner(options: ControlProcessOptions): HolderRunner {
         const { clock, network, logger, logTiming, routing } = options;
-        const sender = new ConnectionSender(network, clock, routing?.platform?.flightMs);
+        const sender = new ConnectionSender(network, clock, routing?.platform?.maxDeliveryMs);
         this.lifecycle.own(() => sender.resetAll());
         return new HolderRunner({
             log: this.log,
@@ -156,7 +156,7 @@
     }
 
     private makeTasks(options: ControlProcessOptions, sender: ConnectionSender): HolderTask[] {
-        const { platform, operators, self, windowGraceMs: graceMs } = options;
+        const { platform, operatorAddress: operators, self, windowGraceMs: graceMs } = options;
         const shared = { ...options, log: this.log, state: this.state, sender };
         const tasks: HolderTask[] = [
             new UsageWindowCloser({ ...shared, graceMs }),
--- a/src/control/controlProcess/test.ts
+++ b/src/control/controlProcess/test.ts
@@ -23,7 +23,7 @@
     ControlProcess,
     EntryCommand,
     PlannedOrder,
-    PurchasePolicy,
+    ProvisioningPolicy,
     PurchaseSituation,
     ViewCache,
 } from "../index.js";
@@ -60,7 +60,7 @@
 }
 
 /** Policy that keeps exactly one order to the platform open. */
-class OneOpenOrderPolicy extends PurchasePolicy {
+class OneOpenOrderPolicy extends ProvisioningPolicy {
     async plan({ openOrders }: PurchaseSituation): Promise<readonly PlannedOrder[]> {
         if (openOrders.length > 0) return [];
         const body = { action: "start", zone: "vogar", pool: "drafting", reclaimable: true, count: 1 } as const;
@@ -117,7 +117,7 @@
             disk: machine.disk,
             logger: new SilentLogger(),
             self: { host: name, incarnation: String(this.clock.monotonic()) as Incarnation },
-            peers: { host: name, port: 1 },
+            peerAddress: { host: name, port: 1 },
             members: CONTROLS.map(member => ({ host: member, address: { host: member, port: 1 } })),
             logTiming: { ...DEFAULT_LOG_TIMING, snapshotEntries: 60, trailingEntries: 10 },
             timing: DEFAULT_PEER_TIMING,
--- a/src/control/coverPolicy/index.ts
+++ b/src/control/coverPolicy/index.ts
@@ -14,14 +14,14 @@
 import { PoolReport, ReportedUpstream } from "../demandReport/index.js";
 import { OfferReader } from "../offerReader/index.js";
 import { OrderHistory, planStops } from "../orderHistory/index.js";
-import { PlannedOrder, PurchasePolicy, PurchaseSituation } from "../purchaseRunner/index.js";
+import { PlannedOrder, ProvisioningPolicy, PurchaseSituation } from "../purchaseRunner/index.js";
 
 /** Options of `CoverPolicy`. */
 export interface CoverPolicyOptions {
     /** Fetches the platform's offers. */
     readonly offers: OfferReader;
     /** Decides which offers to purchase and which upstreams to release. */
-    readonly decision: PurchaseDecision;
+    readonly offerPolicy: PurchaseDecision;
     readonly forecast: ForecastSettings;
     readonly logger: Logger;
 }
@@ -33,7 +33,7 @@
  * announced that it leaves and has no requests left. No orders are planned for a pool with an open order to the platform: until its
  * outcome is known, neither the offers nor the reports show whether its upstreams are still to come.
  */
-export class CoverPolicy extends PurchasePolicy {
+export class CoverPolicy extends ProvisioningPolicy {
     private readonly forecast: DemandForecast;
     /** Wall time at which each upstream was first reported, in milliseconds; used for those that no known order started. */
     private readonly firstSeen = new Map<string, number>();
@@ -88,7 +88,7 @@
         history: OrderHistory,
     ): readonly PurchaseOrder[] {
         const isPlanned = (pool: string): boolean => pools.some(report => report.pool === pool);
-        return this.options.decision.plan({
+        return this.options.offerPolicy.plan({
             now,
             demand: this.forecast.forecast().filter(({ pool }) => isPlanned(pool)),
             owned: pools.flatMap(report => this.listOwned(report, offers, history, now)),
--- a/src/control/coverPolicy/test.ts
+++ b/src/control/coverPolicy/test.ts
@@ -29,7 +29,7 @@
     readonly web = new MemoryWeb(new MemoryFabric(this.clock, () => 1));
     readonly policy = new CoverPolicy({
         offers: new OfferReader(this.web.http("10.0.0.1"), PLATFORM),
-        decision: new CoverPurchase({ ...DEFAULT_COVER, holdMs: 0, defaultSlots: 4 }),
+        offerPolicy: new CoverPurchase({ ...DEFAULT_COVER, holdMs: 0, defaultSlots: 4 }),
         forecast: DEFAULT_FORECAST,
         logger: new SilentLogger(),
     });
--- a/src/control/holderRunner/test.ts
+++ b/src/control/holderRunner/test.ts
@@ -15,7 +15,7 @@
     MemoryLogGroup,
     OrderSender,
     PlannedOrder,
-    PurchasePolicy,
+    ProvisioningPolicy,
     PurchaseRunner,
     UsageReporter,
     UsageWindowCloser,
@@ -43,7 +43,7 @@
     readonly platform: MemoryPlatform;
     private sequence = 0;
 
-    constructor(private readonly checksFence: boolean, private readonly policy?: PurchasePolicy) {
+    constructor(private readonly checksFence: boolean, private readonly policy?: ProvisioningPolicy) {
         this.platform = new MemoryPlatform(this.fabric, { checksFence });
     }
 
@@ -228,7 +228,7 @@
     it("does not order twice when the confirmation of the commit was lost", async () => {
         // Guards against upstreams that are started and paid for twice: the commit of an intent is not confirmed, the policy runs again, and
         // then both intents are committed.
-        class BuyOnce extends PurchasePolicy {
+        class BuyOnce extends ProvisioningPolicy {
             async plan(
                 { openOrders, finishedOrders }: { openOrders: readonly unknown[]; finishedOrders: readonly unknown[]; },
             ) {
--- a/src/control/purchaseRunner/index.ts
+++ b/src/control/purchaseRunner/index.ts
@@ -35,13 +35,13 @@
  * @example
  * const orders = await policy.plan(situation);
  */
-export abstract class PurchasePolicy {
+export abstract class ProvisioningPolicy {
     /** Called periodically by the holder only. A planned order appears in the next situation. */
     abstract plan(situation: PurchaseSituation): Promise<readonly PlannedOrder[]>;
 }
 
 /** Policy that never orders anything. */
-export class NoPurchases extends PurchasePolicy {
+export class NoProvisioning extends ProvisioningPolicy {
     async plan(): Promise<readonly PlannedOrder[]> {
         return [];
     }
@@ -54,7 +54,7 @@
     readonly demand: DemandTable;
     readonly clock: Clock;
     readonly random: Random;
-    readonly policy: PurchasePolicy;
+    readonly policy: ProvisioningPolicy;
     /** Interval between runs of the policy, in milliseconds. */
     readonly periodMs: number;
 }
--- a/src/control/routingService/index.ts
+++ b/src/control/routingService/index.ts
@@ -27,17 +27,17 @@
 const MEMBERS_POLL_INTERVAL_MS = 500;
 
 /** Options for the handling of calls that are routed by the fleet document. */
-export interface RoutingDuties {
+export interface RoutingOptions {
     /** Addresses of control processes, possibly including this one, used to bootstrap or discover the cluster. */
     readonly seeds: readonly Address[];
     /** Target number of voters: no more members become voters, and no document is accepted before the log has this many. */
     readonly voters: number;
     /** False: this host has been a member before and must not bootstrap a new cluster if it has lost its data. */
-    readonly mayFound: boolean;
+    readonly mayBootstrap: boolean;
     /** Length of the windows in which request starts are counted, in milliseconds. */
     readonly startsWindowMs: number;
     /** Maximum wait after a window's end for entries that have not reported, in milliseconds. */
-    readonly startsPatienceMs: number;
+    readonly maxStartsReportWaitMs: number;
     /** Time without an announcement after which an upstream gets no more work, in milliseconds. */
     readonly silentAfterMs: number;
     /** The zones that may be evacuated; undefined: any. */
@@ -51,7 +51,7 @@
     /** It refuses messages with an outdated fencing token. */
     readonly checksFence: boolean;
     /** Maximum delivery time of a call, in milliseconds. */
-    readonly flightMs: number;
+    readonly maxDeliveryMs: number;
     /** Builds the call that reports a closed window of request starts. */
     readonly describeStarts: (closed: ClosedStarts, term: HolderTerm) => FencedCall;
     /** Builds the call that orders a number of upstreams; undefined: pool sizes are left unchanged. */
@@ -66,9 +66,9 @@
     readonly logger: Logger;
     readonly self: PeerIdentity;
     /** This process's own peer address. */
-    readonly peers: Address;
+    readonly peerAddress: Address;
     readonly timing: PeerTiming;
-    readonly routing: RoutingDuties;
+    readonly routing: RoutingOptions;
     readonly log: ReplicatedLog;
     readonly state: ControlState;
     readonly service: ControlService;
@@ -98,7 +98,7 @@
     private readonly links: ControlLinkSet;
 
     constructor(private readonly options: RoutingServiceOptions) {
-        const { clock, router, routing, peers } = options;
+        const { clock, router, routing, peerAddress: peers } = options;
         const timing = { silentAfterMs: routing.silentAfterMs, tombstoneMs: TOMBSTONE_MS };
         this.registry = new UpstreamRegistry({ clock, timing });
         this.publisher = new AnnouncementPublisher({ clock, router, registry: this.registry });
@@ -137,7 +137,7 @@
     /** Creates the lease holder's tasks for routed calls. */
     makeTasks(sender: FencedSender): HolderTask[] {
         const { routing } = this.options;
-        const { startsWindowMs: windowMs, startsPatienceMs: maxReportWaitMs, platform } = routing;
+        const { startsWindowMs: windowMs, maxStartsReportWaitMs: maxReportWaitMs, platform } = routing;
         const shared = { ...this.options, table: this.startsTable, time: this.time, windowMs, maxReportWaitMs };
         const tasks: HolderTask[] = [new StartsRecorder(shared), new StartsWindowCloser(shared)];
         if (!platform) return tasks;
--- a/src/control/startsTable/test.ts
+++ b/src/control/startsTable/test.ts
@@ -12,7 +12,7 @@
 import { MemoryLogGroup } from "../memoryControlLog/index.js";
 import { StartsRecorder } from "../startsRecorder/index.js";
 import { StartsReporter } from "../startsReporter/index.js";
-import { StartsWindowCloser, windowPatienceMs } from "../startsWindowCloser/index.js";
+import { computeMaxReportWaitMs, StartsWindowCloser } from "../startsWindowCloser/index.js";
 import { StartsReport, StartsTable } from "./index.js";
 
 const WINDOW_MS = 5_000;
@@ -95,7 +95,7 @@
 
     it("wait for a partitioned entry for as long as their report can still be in time", async () => {
         // Guards against incomplete windows when an entry is partitioned for ten seconds but comes back before the report is due.
-        const { clock, platform, report, run } = await makeTable(windowPatienceMs(DUE_MS));
+        const { clock, platform, report, run } = await makeTable(computeMaxReportWaitMs(DUE_MS));
         report("entry-1", 3);
         report("entry-2", 4);
         await run(WINDOW_MS + 7_000, () => report("entry-1", 3));
@@ -108,7 +108,7 @@
     });
 
     it("are reported in time where an entry does not come back", async () => {
-        const { clock, platform, report, run } = await makeTable(windowPatienceMs(DUE_MS));
+        const { clock, platform, report, run } = await makeTable(computeMaxReportWaitMs(DUE_MS));
         report("entry-2", 4);
         while (platform.reports.length === 0) await run(250, () => report("entry-1", 3));
         assert.ok(clock.monotonic() <= WINDOW_MS + DUE_MS - 1_000, `${clock.monotonic()} ms`);
--- a/src/control/startsWindowCloser/index.ts
+++ b/src/control/startsWindowCloser/index.ts
@@ -24,7 +24,7 @@
  * @example
  * windowPatienceMs(10_000); // 8_000
  */
-export function windowPatienceMs(dueMs: number): number {
+export function computeMaxReportWaitMs(dueMs: number): number {
     return Math.max(0, dueMs - REPORT_MARGIN_MS);
 }
 
--- a/src/daemon/runControl/index.ts
+++ b/src/daemon/runControl/index.ts
@@ -3,12 +3,12 @@
     ControlProcess,
     CoverPolicy,
     createTrpcHandler,
-    NoPurchases,
+    NoProvisioning,
     OfferReader,
     operatorRouter,
     PlatformAccess,
-    PurchasePolicy,
-    RoutingDuties,
+    ProvisioningPolicy,
+    RoutingOptions,
 } from "../../control/index.js";
 import { EntryProcess, serveAnnouncements, startQueueHost } from "../../entry/index.js";
 import { Lifecycle } from "../../lifecycle/index.js";
@@ -34,8 +34,8 @@
     const running = await ControlProcess.start({
         ...ports,
         disk,
-        peers: listen.peers,
-        operators: listen.operators,
+        peerAddress: listen.peers,
+        operatorAddress: listen.operators,
         members: control.members,
         logTiming: toLogTiming(settings),
         timing,
@@ -101,14 +101,14 @@
     };
 }
 
-function toRoutingDuties({ listen, control, usage }: ControlSettings): RoutingDuties | undefined {
+function toRoutingDuties({ listen, control, usage }: ControlSettings): RoutingOptions | undefined {
     if (!listen.upstreams) return undefined;
     return {
         seeds: control.members.map(({ address }) => address),
         voters: control.members.length,
-        mayFound: true,
+        mayBootstrap: true,
         startsWindowMs: usage.windowMs,
-        startsPatienceMs: usage.graceMs,
+        maxStartsReportWaitMs: usage.graceMs,
         silentAfterMs: DEFAULT_REGISTRY_TIMING.silentAfterMs,
     };
 }
@@ -127,8 +127,8 @@
     { http, logger }: DaemonPorts,
     platform: Address,
     purchases: "off" | "cover",
-): PurchasePolicy {
-    if (purchases === "off") return new NoPurchases();
+): ProvisioningPolicy {
+    if (purchases === "off") return new NoProvisioning();
     const offers = new OfferReader(http, platform);
-    return new CoverPolicy({ offers, decision: new CoverPurchase(), forecast: DEFAULT_FORECAST, logger });
+    return new CoverPolicy({ offers, offerPolicy: new CoverPurchase(), forecast: DEFAULT_FORECAST, logger });
 }
--- a/src/features/world/memoryFleet.ts
+++ b/src/features/world/memoryFleet.ts
@@ -1,6 +1,6 @@
 import { Either } from "purify-ts";
 import { DEFAULT_LOG_TIMING, LogTiming, ProposeError } from "../../consensus/index.js";
-import { ControlProcess, CoverPolicy, NoPurchases, OfferReader, PurchasePolicy } from "../../control/index.js";
+import { ControlProcess, CoverPolicy, NoProvisioning, OfferReader, ProvisioningPolicy } from "../../control/index.js";
 import { DEFAULT_EMULATOR_SETTINGS, EmulatorSettings, KeyWatch, StandInSet } from "../../emulator/index.js";
 import { DEFAULT_ENTRY_LIMITS, EntryLimits, EntryProcess } from "../../entry/index.js";
 import { HostId, Incarnation, ZoneId } from "../../ids/index.js";
@@ -134,7 +134,7 @@
             ...this.makePorts(host),
             disk: this.disks[number],
             self: this.makeIdentity(`control-${number}`),
-            peers: { host, port: PORTS.control },
+            peerAddress: { host, port: PORTS.control },
             members: this.controlNumbers().map(other => ({
                 host: `control-${other}` as HostId,
                 address: { host: controlHost(other), port: PORTS.control },
@@ -262,12 +262,12 @@
         ];
     }
 
-    private makePurchasePolicy(host: string): PurchasePolicy {
+    private makePurchasePolicy(host: string): ProvisioningPolicy {
         const { purchases } = this.layout;
-        if (!purchases) return new NoPurchases();
+        if (!purchases) return new NoProvisioning();
         return new CoverPolicy({
             offers: new OfferReader(this.web.http(host), { host: EMULATOR_HOST, port: PORTS.platform }),
-            decision: new CoverPurchase({ ...DEFAULT_COVER, ...purchases.cover }),
+            offerPolicy: new CoverPurchase({ ...DEFAULT_COVER, ...purchases.cover }),
             forecast: { ...DEFAULT_FORECAST, ...purchases.forecast },
             logger: new SilentLogger(),
         });
--- a/src/platform/runControlNode/index.ts
+++ b/src/platform/runControlNode/index.ts
@@ -1,4 +1,4 @@
-import { ControlProcess, RoutingPlatform, windowPatienceMs } from "../../control/index.js";
+import { computeMaxReportWaitMs, ControlProcess, RoutingPlatform } from "../../control/index.js";
 import { DaemonPorts, DaemonProcess } from "../../daemon/index.js";
 import { startQueueHost } from "../../entry/index.js";
 import { Lifecycle } from "../../lifecycle/index.js";
@@ -38,7 +38,7 @@
     const running = await ControlProcess.start({
         ...ports,
         disk,
-        peers: { host: ip, port: controlPeerPort },
+        peerAddress: { host: ip, port: controlPeerPort },
         members: seeds.map(seed => ({ address: seed })),
         logTiming: CONTROL_LOG_TIMING,
         timing: INTERNAL_PEER_TIMING,
@@ -50,9 +50,9 @@
             seeds,
             // An acknowledged entry is on a majority: when any of the tolerated losses follow, one voter with the entry is left.
             voters: 2 * settings.toleratedLosses + 1,
-            mayFound: settings.isFirstStart && settings.isSeed,
+            mayBootstrap: settings.isFirstStart && settings.isSeed,
             startsWindowMs: usageWindowMs,
-            startsPatienceMs: windowPatienceMs(settings.usageDueMs),
+            maxStartsReportWaitMs: computeMaxReportWaitMs(settings.usageDueMs),
             silentAfterMs: upstreamTimeoutMs(settings.heartbeatMs),
             zones: settings.zones.length > 0 ? settings.zones : undefined,
             platform: makeRoutingPlatform(ports, settings),
@@ -91,7 +91,7 @@
     if (!platform) return undefined;
     return {
         checksFence: platformChecksFence,
-        flightMs: MAX_PLATFORM_CALL_MS,
+        maxDeliveryMs: MAX_PLATFORM_CALL_MS,
         ...makePlatformCalls(platform, self.host),
     };
 }
