--- a/src/consensus/replicatedLog/index.ts
+++ b/src/consensus/replicatedLog/index.ts
@@ -48,7 +48,7 @@
     /** Control hosts from the settings, including this one. The list is the same on each host. */
     readonly bootstrap: readonly BootstrapMember[];
     /** False: this replica only joins a cluster and never bootstraps one. Defaults to true. */
-    readonly mayFound?: boolean;
+    readonly mayBootstrap?: boolean;
     /** Desired number of voters. Undefined: each member becomes a voter. */
     readonly targetVoters?: number;
     readonly stateMachine: StateMachine;
@@ -114,7 +114,7 @@
         this.restartPause = new RestartPause(this.replica, this.links);
         this.snapshotter = new Snapshotter(this.replica);
         const member = { host: self.host, address: options.address };
-        const { bootstrap, mayFound: mayBootstrap } = options;
+        const { bootstrap, mayBootstrap: mayBootstrap } = options;
         this.clusterBootstrap = new ClusterBootstrap(
             this.replica,
             this.links,
@@ -267,7 +267,7 @@
      *
      * @param timeoutMs - Timeout of the call, in milliseconds.
      */
-    async askHolder(method: string, body: unknown, timeoutMs: number): Promise<Either<PeerError, unknown>> {
+    async callLeader(method: string, body: unknown, timeoutMs: number): Promise<Either<PeerError, unknown>> {
         const address = this.findLeaderAddress();
         if (!address) return Left(new PeerError("unreachable", false, "no leader is known"));
         return this.links.call(address, method, body, timeoutMs);
--- a/src/control/controlProcess/index.ts
+++ b/src/control/controlProcess/index.ts
@@ -95,7 +95,7 @@
             stateMachine: state,
             timing: logTiming,
             peerTiming: timing,
-            mayFound: routing?.mayBootstrap,
+            mayBootstrap: routing?.mayBootstrap,
             targetVoters: routing?.voters,
         });
         lifecycle.own(() => log.close());
--- a/src/control/durableChange/index.ts
+++ b/src/control/durableChange/index.ts
@@ -20,7 +20,7 @@
 
 /** Options of `DurableChange`. */
 export interface DurableChangeOptions {
-    readonly log: Pick<ReplicatedLog, "holdsLease" | "propose" | "askHolder" | "committedConfiguration">;
+    readonly log: Pick<ReplicatedLog, "holdsLease" | "propose" | "callLeader" | "committedConfiguration">;
     readonly service: Pick<ControlService, "awaitInForce">;
     readonly router: PeerRouter;
     readonly clock: Clock;
@@ -74,7 +74,7 @@
     }
 
     private async forwardToHolder(command: Command): Promise<Result> {
-        const answer = await this.options.log.askHolder(this.kind.method, command, HOLDER_TIMEOUT_MS);
+        const answer = await this.options.log.callLeader(this.kind.method, command, HOLDER_TIMEOUT_MS);
         if (answer.isLeft()) throw answer.extract();
         return answer.unsafeCoerce() as Result;
     }
