--- a/src/bench/policy/demandMeter/index.ts
+++ b/src/bench/policy/demandMeter/index.ts
@@ -12,7 +12,7 @@
 /** Measures the demand of each class in slots from its request arrivals, as entries report it, and forecasts it. */
 export class DemandMeter {
     private readonly demandForecast = new DemandForecast({
-        levelMs: 3_000,
+        smoothingMs: 3_000,
         peakHalfLifeMs: 60_000,
         peakShare: 0.6,
         startMs: UPSTREAM_START_MS,
@@ -31,7 +31,7 @@
             const arrivals = this.requests.filter(request =>
                 request.classProfile === profile && request.atMs > nowMs - ARRIVAL_WINDOW_MS && request.atMs <= nowMs
             ).length;
-            this.demandForecast.learn(this.demandOf(profile, arrivals / ARRIVAL_WINDOW_MS * 1_000), nowMs);
+            this.demandForecast.observe(this.demandOf(profile, arrivals / ARRIVAL_WINDOW_MS * 1_000), nowMs);
         }
         return this.demandForecast.forecast();
     }
--- a/src/control/controlState/index.ts
+++ b/src/control/controlState/index.ts
@@ -1,6 +1,6 @@
 import { ApplyContext, StateMachine } from "../../consensus/index.js";
 import { Revision } from "../../ids/index.js";
-import { CallLedger, CallRecord, FinishCallCommand, LedgerChange } from "../../ledger/index.js";
+import { CallLedger, CallRecord, CloseCallsResult, FinishCallCommand } from "../../ledger/index.js";
 import { OrderIntentCommand, OrderLedger, OrderOutcomeCommand, OrderSnapshot } from "../../order/index.js";
 import {
     LiftQuarantineCommand,
@@ -12,18 +12,18 @@
 import { DocumentStore, ReplaceDocumentCommand, ReplaceDocumentResult, StoredDocument } from "../../routing/index.js";
 import {
     CloseStartsCommand,
-    CloseWindowCommand,
-    NoteStartsCommand,
-    ReportedCommand,
+    CloseUsageCommand,
+    RecordStartsCommand,
     ReserveCommand,
-    RunReport,
     RunStarts,
-    SpendBook,
+    RunStartWindows,
+    SpendLedger,
     SpendSnapshot,
-    StartsBook,
+    StartLedger,
     StartsReportedCommand,
     StartsSnapshot,
-    UsageBook,
+    UsageLedger,
+    UsageReportedCommand,
     UsageSnapshot,
 } from "../../usage/index.js";
 import { ChangeOutcome, ConfigChange, RegistrySnapshot, WorkspaceRegistry } from "../../workspace/index.js";
@@ -48,14 +48,14 @@
 export type ControlCommand =
     | EntryCommand
     | ConfigChange
-    | CloseWindowCommand
-    | ReportedCommand
+    | CloseUsageCommand
+    | UsageReportedCommand
     | OrderIntentCommand
     | OrderOutcomeCommand
     | AnnounceHolderCommand
     | ReplaceDocumentCommand
     | CloseStartsCommand
-    | NoteStartsCommand
+    | RecordStartsCommand
     | StartsReportedCommand
     | ZoneCommand
     | LiftQuarantineCommand;
@@ -82,7 +82,7 @@
     /** Missing in snapshots of older versions. */
     readonly starts?: StartsSnapshot;
     /** Missing in snapshots of older versions. */
-    readonly openStarts?: readonly RunReport[];
+    readonly openStarts?: readonly RunStartWindows[];
     /** Missing in snapshots of older versions. */
     readonly zones?: ZoneSnapshot;
     /** Missing in snapshots of older versions. */
@@ -99,12 +99,12 @@
 export class ControlState extends StateMachine {
     readonly registry = new WorkspaceRegistry();
     readonly ledger = new CallLedger();
-    readonly usage = new UsageBook();
-    readonly spend = new SpendBook();
+    readonly usage = new UsageLedger();
+    readonly spend = new SpendLedger();
     readonly orders = new OrderLedger();
     readonly directory = new ControlDirectory();
     readonly documents = new DocumentStore();
-    readonly starts = new StartsBook();
+    readonly starts = new StartLedger();
     /** Recorded counts of request starts in windows that are not closed. */
     readonly openStarts = new RunStarts();
     readonly zones = new EvacuationTable();
@@ -217,7 +217,7 @@
             case "starts.note":
                 return this.recordStarts(command);
             case "starts.close":
-                this.openStarts.forgetBefore(command.window + 1);
+                this.openStarts.dropBefore(command.window + 1);
                 return this.starts.close(command);
             case "starts.reported":
                 return this.starts.markReported(command);
@@ -243,7 +243,7 @@
      * Closes a call's record and counts its usage in the same log entry. So the call is billed exactly once whichever host fails around
      * it, and a resend of the command changes nothing.
      */
-    private finishCall(command: FinishCallCommand, context: ApplyContext): LedgerChange {
+    private finishCall(command: FinishCallCommand, context: ApplyContext): CloseCallsResult {
         const change = this.ledger.finish(command, context);
         if (change.changed > 0 && command.outcome === "answered" && command.usage) this.usage.addSum(command.usage);
         return change;
@@ -256,7 +256,7 @@
     }
 
     /** Records counts of open windows; those of closed windows are too late and dropped. */
-    private recordStarts({ runs }: NoteStartsCommand): void {
+    private recordStarts({ runs }: RecordStartsCommand): void {
         for (const { run, windows } of runs) {
             this.openStarts.merge(run, windows.filter(({ window }) => !this.starts.isClosed(window)));
         }
--- a/src/control/coverPolicy/index.ts
+++ b/src/control/coverPolicy/index.ts
@@ -71,12 +71,12 @@
         for (const { pool, tier } of this.forecast.forecast()) {
             const report = demand.find(other => other.pool === pool);
             if (report && !report.tiers.some(load => load.tier === tier)) {
-                this.forecast.learn({ pool, tier, slots: 0 }, now);
+                this.forecast.observe({ pool, tier, slots: 0 }, now);
             }
         }
         for (const { pool, tiers } of demand) {
             for (const { tier, running, waiting } of tiers) {
-                this.forecast.learn({ pool: pool as PoolId, tier, slots: running + waiting }, now);
+                this.forecast.observe({ pool: pool as PoolId, tier, slots: running + waiting }, now);
             }
         }
     }
--- a/src/control/poolSizer/index.ts
+++ b/src/control/poolSizer/index.ts
@@ -1,7 +1,7 @@
 import { HostId, PoolId, ZoneId } from "../../ids/index.js";
 import { Logger } from "../../logging/index.js";
 import { Clock } from "../../ports/index.js";
-import { planZones, ZoneCount, ZoneSituation, ZoneWish } from "../../purchase/index.js";
+import { planZones, PoolZoneState, ZoneCount, ZoneTarget } from "../../purchase/index.js";
 import { ScalingSpec } from "../../routing/index.js";
 import { Upstream, UpstreamRegistry } from "../../upstream/index.js";
 import { ControlState } from "../controlState/index.js";
@@ -174,11 +174,18 @@
         const { least, most, reclaimablePrice } = scaling;
         const needed = this.needs.get(pool)?.count ?? 0;
         const leastNeeded = Math.ceil(needed * PREFILL_SHARE / MAX_PREFILL_SHARE);
-        const targets = planZones({ zones, least, most, reclaimablePrice, needed, leastNeeded });
+        const targets = planZones({
+            zones,
+            minPerZone: least,
+            maxPerZone: most,
+            reclaimablePrice,
+            needed,
+            minNeeded: leastNeeded,
+        });
         return targets.flatMap((target, index) => this.listOrders(pool, scaling, zones[index], target));
     }
 
-    private listOrders(pool: PoolId, scaling: ScalingSpec, zone: ZoneSituation, target: ZoneWish): DueOrder[] {
+    private listOrders(pool: PoolId, scaling: ScalingSpec, zone: PoolZoneState, target: ZoneTarget): DueOrder[] {
         const { steady, reclaimable } = zone;
         const orders: DueOrder[] = [
             { pool, zone: target.zone, count: target.reclaimable, reclaimable: true, ready: reclaimable.ready },
@@ -205,7 +212,7 @@
         return previous.count !== order.count || previous.soldOut || isMissing;
     }
 
-    private listZoneSituations(pool: PoolId, { zonePrices }: ScalingSpec): ZoneSituation[] {
+    private listZoneSituations(pool: PoolId, { zonePrices }: ScalingSpec): PoolZoneState[] {
         const upstreams = this.options.registry.list(pool);
         const zones = new Set(upstreams.map(({ zone }) => zone));
         return [...zones].sort().map(zone => {
--- a/src/control/routingService/index.ts
+++ b/src/control/routingService/index.ts
@@ -6,7 +6,7 @@
 import { Address, Clock, formatAddress, Network, Random } from "../../ports/index.js";
 import { TrueTime } from "../../time/index.js";
 import { UpstreamRegistry } from "../../upstream/index.js";
-import { ClosedStarts } from "../../usage/index.js";
+import { ClosedStartWindow } from "../../usage/index.js";
 import { PeerIdentity, PeerRouter, PeerTiming } from "../../wire/index.js";
 import { ControlLinkSet } from "../controlLinkSet/index.js";
 import { ControlService } from "../controlService/index.js";
@@ -53,7 +53,7 @@
     /** Maximum delivery time of a call, in milliseconds. */
     readonly maxDeliveryMs: number;
     /** Builds the call that reports a closed window of request starts. */
-    readonly describeStarts: (closed: ClosedStarts, term: HolderTerm) => FencedCall;
+    readonly describeStarts: (closed: ClosedStartWindow, term: HolderTerm) => FencedCall;
     /** Builds the call that orders a number of upstreams; undefined: pool sizes are left unchanged. */
     readonly describeSize?: (order: SizeOrder, term: HolderTerm) => FencedCall;
 }
--- a/src/control/startsRecorder/index.ts
+++ b/src/control/startsRecorder/index.ts
@@ -1,6 +1,6 @@
 import { ControlLog } from "../../consensus/index.js";
 import { Logger } from "../../logging/index.js";
-import { RunReport } from "../../usage/index.js";
+import { RunStartWindows } from "../../usage/index.js";
 import { ControlState } from "../controlState/index.js";
 import { HolderTask } from "../holderRunner/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
@@ -46,7 +46,7 @@
     }
 
     /** Takes the unrecorded counts of windows that are not closed. */
-    private takeOpenWindows(): RunReport[] {
+    private takeOpenWindows(): RunStartWindows[] {
         const { table, state } = this.options;
         return table.takeUnrecorded().flatMap(({ run, windows }) => {
             const open = windows.filter(({ window }) => !state.starts.isClosed(window));
--- a/src/control/startsReporter/index.ts
+++ b/src/control/startsReporter/index.ts
@@ -1,4 +1,4 @@
-import { ClosedStarts } from "../../usage/index.js";
+import { ClosedStartWindow } from "../../usage/index.js";
 import { ControlState } from "../controlState/index.js";
 import { FencedCall } from "../fencedSender/index.js";
 import { HolderTerm } from "../holderTerm/index.js";
@@ -12,7 +12,7 @@
 export interface StartsReporterOptions extends WindowReporterOptions {
     readonly state: ControlState;
     /** Builds the call that reports a window in the platform's format. */
-    readonly buildCall: (closed: ClosedStarts, term: HolderTerm) => FencedCall;
+    readonly buildCall: (closed: ClosedStartWindow, term: HolderTerm) => FencedCall;
 }
 
 /** Reports closed windows of request starts to the platform. */
--- a/src/control/startsTable/index.ts
+++ b/src/control/startsTable/index.ts
@@ -1,5 +1,5 @@
 import { Clock } from "../../ports/index.js";
-import { RunReport, RunStarts, StartWindow } from "../../usage/index.js";
+import { RunStarts, RunStartWindows, StartWindowCounts } from "../../usage/index.js";
 import { PeerRouter } from "../../wire/index.js";
 
 /** Peer method by which entries report their counts of request starts; the body is a `StartsReport`. */
@@ -19,7 +19,7 @@
     readonly incarnation: string;
     /** True time of these counts, in milliseconds since the epoch. */
     readonly countedAt: number;
-    readonly windows: readonly StartWindow[];
+    readonly windows: readonly StartWindowCounts[];
     /** The entry has stopped: this is the final report of this run. */
     readonly isLast?: boolean;
 }
@@ -67,14 +67,14 @@
     }
 
     /** Returns and clears the counts received since the last call. */
-    takeUnrecorded(): readonly RunReport[] {
+    takeUnrecorded(): readonly RunStartWindows[] {
         const runs = this.unrecorded.list();
         this.unrecorded.clear();
         return runs;
     }
 
     /** Adds counts back that could not be recorded in the log. */
-    returnUnrecorded(runs: readonly RunReport[]): void {
+    returnUnrecorded(runs: readonly RunStartWindows[]): void {
         this.unrecorded.mergeAll(runs);
     }
 
@@ -98,7 +98,7 @@
      * Records new windows and drops expired ones. Without expiry the table would grow forever on control processes that never hold the lease
      * and so never close a window.
      */
-    private trackWindows(windows: readonly StartWindow[]): void {
+    private trackWindows(windows: readonly StartWindowCounts[]): void {
         const now = this.clock.monotonic();
         const added = windows.filter(({ window }) => !this.firstReceivedAt.has(window));
         if (added.length === 0) return;
@@ -111,8 +111,8 @@
             [...this.firstReceivedAt].filter(([, receivedAt]) => receivedAt < oldest).map(([window]) => window),
         );
         const isExpired = (window: number): boolean => expired.has(window);
-        this.counts.forget(isExpired);
-        this.unrecorded.forget(isExpired);
+        this.counts.dropWhere(isExpired);
+        this.unrecorded.dropWhere(isExpired);
         for (const window of expired) this.firstReceivedAt.delete(window);
         for (const [runKey, { heardAt }] of this.runs) {
             if (heardAt < oldest) this.runs.delete(runKey);
--- a/src/control/startsWindowCloser/index.ts
+++ b/src/control/startsWindowCloser/index.ts
@@ -69,7 +69,7 @@
 
     private findFirstCountedWindow(): number {
         const { state, table } = this.options;
-        const firsts = [table.counts.firstWindow(), state.openStarts.firstWindow()];
+        const firsts = [table.counts.earliestWindow(), state.openStarts.earliestWindow()];
         return Math.min(...firsts.map(first => first ?? Number.POSITIVE_INFINITY));
     }
 
--- a/src/control/viewHistory/index.ts
+++ b/src/control/viewHistory/index.ts
@@ -1,5 +1,5 @@
 import { KeyHash, Revision, WorkspaceId } from "../../ids/index.js";
-import { TouchedViews, WorkspaceRegistry } from "../../workspace/index.js";
+import { AffectedViews, WorkspaceRegistry } from "../../workspace/index.js";
 import { ViewChange } from "../view/index.js";
 
 /** Maximum number of remembered touched workspaces and keys; an entry that is further behind gets the full view. */
@@ -7,7 +7,7 @@
 
 interface TouchedStep {
     readonly revision: Revision;
-    readonly touched: TouchedViews;
+    readonly touched: AffectedViews;
 }
 
 /**
@@ -31,7 +31,7 @@
     }
 
     /** Records the workspaces and keys that a change touched. */
-    record(revision: Revision, touched: TouchedViews): void {
+    record(revision: Revision, touched: AffectedViews): void {
         this.steps.push({ revision, touched });
         this.size += countTouched(touched);
         let dropped = 0;
@@ -63,7 +63,7 @@
     }
 }
 
-function countTouched({ workspaces, keys }: TouchedViews): number {
+function countTouched({ workspaces, keys }: AffectedViews): number {
     return 1 + workspaces.length + keys.length;
 }
 
--- a/src/entry/startCountReporter/index.ts
+++ b/src/entry/startCountReporter/index.ts
@@ -2,7 +2,7 @@
 import { Incarnation } from "../../ids/index.js";
 import { Clock, Timer } from "../../ports/index.js";
 import { TrueTime } from "../../time/index.js";
-import { StartMeter, StartWindow } from "../../usage/index.js";
+import { StartMeter, StartWindowCounts } from "../../usage/index.js";
 import { EncodedBody, PeerIdentity, PeerLink } from "../../wire/index.js";
 
 /** Interval at which all counts are sent to the holder, in milliseconds. From these reports it knows up to when the counts are complete. */
@@ -44,7 +44,7 @@
     private wholeAt = 0;
 
     constructor(private readonly options: StartCountReporterOptions) {
-        options.meter.onNote(() => this.scheduleHolderReport());
+        options.meter.onStart(() => this.scheduleHolderReport());
     }
 
     /** Sends reports until the signal is aborted. */
@@ -76,7 +76,7 @@
         link.notify(STARTS_METHOD, this.encode(this.listDue(this.toHolder)));
     }
 
-    private listDue(sent: SentWindows): readonly StartWindow[] {
+    private listDue(sent: SentWindows): readonly StartWindowCounts[] {
         const { meter, time } = this.options;
         this.wholeAt = time.now();
         return meter.list(this.wholeAt).filter(window => sent.isDue(window));
@@ -90,11 +90,11 @@
     private sendNewCounts(): void {
         const { meter, holderLink } = this.options;
         this.pendingReport = undefined;
-        holderLink()?.notify(STARTS_METHOD, this.encode(meter.takeNews()));
+        holderLink()?.notify(STARTS_METHOD, this.encode(meter.takeChanges()));
     }
 
     /** Encodes a report. Only reports of all counts advance `wholeAt`, since reports of new counts alone may be lost. */
-    private encode(windows: readonly StartWindow[], isLast = false): EncodedBody {
+    private encode(windows: readonly StartWindowCounts[], isLast = false): EncodedBody {
         const { host, incarnation } = this.options.self;
         const end = isLast ? { isLast } : {};
         const report: StartsReport = { host, incarnation, countedAt: this.wholeAt, windows, ...end };
@@ -107,7 +107,7 @@
     private readonly sent = new Map<number, { readonly counts: string; readonly times: number; }>();
 
     /** Whether a window has not yet been sent often enough with its present counts; if so, it is recorded as sent. */
-    isDue({ window, counts }: StartWindow): boolean {
+    isDue({ window, counts }: StartWindowCounts): boolean {
         const text = JSON.stringify(counts);
         const known = this.sent.get(window);
         const times = known?.counts === text ? known.times + 1 : 1;
--- a/src/entry/startCountReporter/test.ts
+++ b/src/entry/startCountReporter/test.ts
@@ -40,7 +40,7 @@
         const reporter = new StartCountReporter({ clock, self, meter, time, links, holderLink: () => state.holder });
         const stop = new AbortController();
         void reporter.run(stop.signal);
-        const recordStart = (): void => meter.note(BUTCHER, time.now());
+        const recordStart = (): void => meter.recordStart(BUTCHER, time.now());
         return { clock, links, state, recordStart, stop, reporter };
     }
 
--- a/src/ledger/callLedger/index.ts
+++ b/src/ledger/callLedger/index.ts
@@ -38,7 +38,7 @@
 }
 
 /** Result of finishing or abandoning calls. */
-export interface LedgerChange {
+export interface CloseCallsResult {
     /** Number of records closed. */
     readonly changed: number;
 }
@@ -76,7 +76,7 @@
     }
 
     /** Closes a record. Only the request that opened it may do so, and a recorded answer is never replaced. */
-    finish(command: FinishCallCommand, context: ApplyContext): LedgerChange {
+    finish(command: FinishCallCommand, context: ApplyContext): CloseCallsResult {
         const recordKey = makeRecordKey(command);
         const existing = this.running.get(recordKey) ?? this.finished.get(recordKey);
         if (!existing || existing.request !== command.request) return { changed: 0 };
@@ -88,7 +88,7 @@
     }
 
     /** Closes the open records of a run that has ended as `unknown`: its calls may or may not have run. */
-    abandon(command: AbandonCallsCommand, context: ApplyContext): LedgerChange {
+    abandon(command: AbandonCallsCommand, context: ApplyContext): CloseCallsResult {
         const lost = [...this.running].filter(([, record]) => isSameRun(record, command));
         for (const [key, record] of lost) this.close(key, { ...record, state: "unknown", at: context.proposedAt });
         return { changed: lost.length };
--- a/src/purchase/demandForecast/index.ts
+++ b/src/purchase/demandForecast/index.ts
@@ -4,7 +4,7 @@
 /** Smoothing, peak memory and look-ahead of a forecast. */
 export interface ForecastSettings {
     /** Time constant of the exponential smoothing of level and trend, in milliseconds. */
-    readonly levelMs: number;
+    readonly smoothingMs: number;
     /** Half-life of a remembered peak, in milliseconds. */
     readonly peakHalfLifeMs: number;
     /** Share of the remembered peak that is the lower bound of a forecast. */
@@ -15,7 +15,7 @@
 
 /** Follows a rise within seconds; a peak decays to half within a quarter of an hour. */
 export const DEFAULT_FORECAST: ForecastSettings = {
-    levelMs: 10_000,
+    smoothingMs: 10_000,
     peakHalfLifeMs: 900_000,
     peakShare: 0.6,
     startMs: 30_000,
@@ -50,7 +50,7 @@
      * @param demand - Slots that the tier needs now: its arrivals per millisecond times the milliseconds for which each holds a slot.
      * @param now - Wall time, in milliseconds.
      */
-    learn(demand: TierDemand, now: number): void {
+    observe(demand: TierDemand, now: number): void {
         const key = `${demand.pool}\n${demand.tier}`;
         const series = this.seriesByTier.get(key);
         if (!series) {
@@ -59,7 +59,7 @@
             return;
         }
         const elapsedMs = Math.max(1, now - series.updatedAt);
-        const weight = 1 - Math.exp(-elapsedMs / this.settings.levelMs);
+        const weight = 1 - Math.exp(-elapsedMs / this.settings.smoothingMs);
         const level = series.level + weight * (demand.slots - series.level);
         series.trend += weight * ((level - series.level) / elapsedMs - series.trend);
         series.level = level;
--- a/src/purchase/demandForecast/test.ts
+++ b/src/purchase/demandForecast/test.ts
@@ -7,7 +7,7 @@
 
 function feedDemand(forecast: DemandForecast, slots: (second: number) => number, fromS: number, toS: number): number {
     for (let second = fromS; second < toS; second++) {
-        forecast.learn({ pool: POOL, tier: 0, slots: slots(second) }, second * 1_000);
+        forecast.observe({ pool: POOL, tier: 0, slots: slots(second) }, second * 1_000);
     }
     return forecast.forecast()[0].slots;
 }
--- a/src/purchase/zonePlan/index.ts
+++ b/src/purchase/zonePlan/index.ts
@@ -11,7 +11,7 @@
 }
 
 /** Current upstreams of a pool in one zone. */
-export interface ZoneSituation {
+export interface PoolZoneState {
     readonly zone: ZoneId;
     /** Price of a steady upstream per second. */
     readonly price: number;
@@ -25,21 +25,21 @@
 
 /** Input of `planZones`: a pool's upstreams, bounds and need. */
 export interface PoolPlanInput {
-    readonly zones: readonly ZoneSituation[];
+    readonly zones: readonly PoolZoneState[];
     /** Minimum number of upstreams in a zone. */
-    readonly least: number;
+    readonly minPerZone: number;
     /** Maximum number of upstreams in a zone, of both kinds together. */
-    readonly most: number;
+    readonly maxPerZone: number;
     /** Price of a reclaimable upstream as a share of a steady one's; undefined where there are none. */
     readonly reclaimablePrice: number | undefined;
     /** Number of upstreams that serve the present load well. */
     readonly needed: number;
     /** Minimum number of upstreams that can serve the present load; steady ones are bought up to this number only. */
-    readonly leastNeeded: number;
+    readonly minNeeded: number;
 }
 
 /** Planned number of upstreams in a zone. */
-export interface ZoneWish {
+export interface ZoneTarget {
     readonly zone: ZoneId;
     readonly steady: number;
     readonly reclaimable: number;
@@ -61,35 +61,35 @@
  * @example
  * const targets = planZones(input);
  */
-export function planZones(input: PoolPlanInput): readonly ZoneWish[] {
+export function planZones(input: PoolPlanInput): readonly ZoneTarget[] {
     const zones = input.zones.filter(({ isEvacuated }) => !isEvacuated);
     const planned = planZonesInService({ ...input, zones });
     return input.zones.map(zone => planned.find(target => target.zone === zone.zone) ?? keepCurrent(zone));
 }
 
-function planZonesInService(input: PoolPlanInput): readonly ZoneWish[] {
+function planZonesInService(input: PoolPlanInput): readonly ZoneTarget[] {
     const { zones, reclaimablePrice } = input;
     if (zones.length === 0) return [];
     const isCheap = reclaimablePrice !== undefined && reclaimablePrice <= MAX_RECLAIMABLE_PRICE_RATIO;
     return isCheap ? planReclaimable(input) : planSteady(input);
 }
 
-function keepCurrent({ zone, steady, reclaimable }: ZoneSituation): ZoneWish {
+function keepCurrent({ zone, steady, reclaimable }: PoolZoneState): ZoneTarget {
     return { zone, steady: steady.ordered ?? steady.ready, reclaimable: reclaimable.ordered ?? reclaimable.ready };
 }
 
-function planReclaimable(input: PoolPlanInput): ZoneWish[] {
-    const { zones, least, most, needed } = input;
+function planReclaimable(input: PoolPlanInput): ZoneTarget[] {
+    const { zones, minPerZone, maxPerZone, needed } = input;
     // The platform may take back all reclaimable upstreams of one zone at any time.
     const otherZoneCount = Math.max(1, zones.length - 1);
-    const perZone = clamp(Math.ceil(needed / otherZoneCount), Math.max(1, least), most);
+    const perZone = clamp(Math.ceil(needed / otherZoneCount), Math.max(1, minPerZone), maxPerZone);
     const targets = zones.map(zone => ({
         zone: zone.zone,
         reclaimable: perZone,
         steady: clamp(
             perZone - zone.reclaimable.ready,
             0,
-            currentSteady(zone) - countSteadyToRelease(zone, perZone, most),
+            currentSteady(zone) - countSteadyToRelease(zone, perZone, maxPerZone),
         ),
     }));
     return addSteadyForShortfall(input, targets);
@@ -101,8 +101,8 @@
  * Prevents steady upstreams bought in a shortage from staying permanently: both kinds share a zone's bound, so where steady ones fill
  * it, no reclaimable one can start and replace them.
  */
-function countSteadyToRelease({ steady, reclaimable }: ZoneSituation, targetCount: number, most: number): number {
-    const isFull = steady.ready + reclaimable.ready >= most;
+function countSteadyToRelease({ steady, reclaimable }: PoolZoneState, targetCount: number, maxPerZone: number): number {
+    const isFull = steady.ready + reclaimable.ready >= maxPerZone;
     if (!isFull || reclaimable.soldOut || reclaimable.ready >= targetCount) return 0;
     return Math.ceil(steady.ready / 2);
 }
@@ -111,7 +111,7 @@
  * Counts the steady upstreams that stay until reclaimable ones replace them: both kinds together can't exceed the zone's bound.
  * Counts no more than were ordered last.
  */
-function currentSteady({ steady }: ZoneSituation): number {
+function currentSteady({ steady }: PoolZoneState): number {
     return Math.min(steady.ready, steady.ordered ?? steady.ready);
 }
 
@@ -119,14 +119,18 @@
  * Adds steady upstreams, in the cheapest zones first, for the minimum need that neither the serving nor the starting reclaimable
  * upstreams will meet.
  */
-function addSteadyForShortfall({ zones, most, leastNeeded }: PoolPlanInput, targets: readonly ZoneWish[]): ZoneWish[] {
+function addSteadyForShortfall(
+    { zones, maxPerZone, minNeeded }: PoolPlanInput,
+    targets: readonly ZoneTarget[],
+): ZoneTarget[] {
     const expected = zones.reduce((sum, zone, at) => sum + countExpected(zone, targets[at]), 0);
-    let shortfall = leastNeeded - expected;
+    let shortfall = minNeeded - expected;
     const byPrice = zones.map((zone, at) => ({ zone, at })).sort((a, b) => a.zone.price - b.zone.price);
     const planned = [...targets];
     for (const { zone, at } of byPrice) {
         const target = planned[at];
-        const freeCount = Math.min(Math.floor(most * MAX_STEADY_SHARE), most - zone.reclaimable.ready) - target.steady;
+        const freeCount = Math.min(Math.floor(maxPerZone * MAX_STEADY_SHARE), maxPerZone - zone.reclaimable.ready)
+            - target.steady;
         const added = clamp(shortfall, 0, Math.max(0, freeCount));
         planned[at] = { ...target, steady: target.steady + added };
         shortfall -= added;
@@ -134,15 +138,15 @@
     return planned;
 }
 
-function countExpected({ reclaimable }: ZoneSituation, target: ZoneWish): number {
+function countExpected({ reclaimable }: PoolZoneState, target: ZoneTarget): number {
     const expectedReclaimable = reclaimable.soldOut
         ? reclaimable.ready
         : Math.max(reclaimable.ready, target.reclaimable);
     return target.steady + expectedReclaimable;
 }
 
-function planSteady({ zones, least, most, needed }: PoolPlanInput): ZoneWish[] {
-    const perZone = clamp(Math.ceil(needed / zones.length), least, most);
+function planSteady({ zones, minPerZone, maxPerZone, needed }: PoolPlanInput): ZoneTarget[] {
+    const perZone = clamp(Math.ceil(needed / zones.length), minPerZone, maxPerZone);
     return zones.map(({ zone }) => ({ zone, steady: perZone, reclaimable: 0 }));
 }
 
--- a/src/purchase/zonePlan/test.ts
+++ b/src/purchase/zonePlan/test.ts
@@ -1,16 +1,16 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ZoneId } from "../../ids/index.js";
-import { planZones, PoolPlanInput, ZoneSituation } from "./index.js";
+import { planZones, PoolPlanInput, PoolZoneState } from "./index.js";
 
 const NONE = { ready: 0, ordered: undefined, soldOut: false };
 
-function zone(name: string, parts: Partial<ZoneSituation> = {}): ZoneSituation {
+function zone(name: string, parts: Partial<PoolZoneState> = {}): PoolZoneState {
     return { zone: name as ZoneId, price: 1, steady: NONE, reclaimable: NONE, ...parts };
 }
 
-function planCounts(zones: readonly ZoneSituation[], parts: Partial<PoolPlanInput> = {}): [number, number][] {
-    const input = { zones, least: 1, most: 4, reclaimablePrice: 0.18, needed: 6, leastNeeded: 6, ...parts };
+function planCounts(zones: readonly PoolZoneState[], parts: Partial<PoolPlanInput> = {}): [number, number][] {
+    const input = { zones, minPerZone: 1, maxPerZone: 4, reclaimablePrice: 0.18, needed: 6, minNeeded: 6, ...parts };
     return planZones(input).map(({ steady, reclaimable }) => [steady, reclaimable]);
 }
 
@@ -58,7 +58,7 @@
             zone("b", { reclaimable: soldOut }),
             zone("c", { reclaimable: soldOut }),
         ];
-        assert.deepEqual(planCounts(zones, { leastNeeded: 7 }).map(([steady]) => steady), [0, 2, 1]);
+        assert.deepEqual(planCounts(zones, { minNeeded: 7 }).map(([steady]) => steady), [0, 2, 1]);
     });
 
     it("buys no steady upstream beyond the minimum need", () => {
@@ -69,7 +69,7 @@
             zone("a", { reclaimable: soldOut }),
             ...["b", "c"].map(name => zone(name, { reclaimable: serving })),
         ];
-        assert.deepEqual(planCounts(zones, { leastNeeded: 4 }).map(([steady]) => steady), [0, 0, 0]);
+        assert.deepEqual(planCounts(zones, { minNeeded: 4 }).map(([steady]) => steady), [0, 0, 0]);
     });
 
     it("releases steady upstreams where they fill the zone, so that reclaimable ones can start", () => {
@@ -80,7 +80,7 @@
         const others = ["b", "c", "d"].map(name =>
             zone(name, { reclaimable: { ready: 2, ordered: 2, soldOut: false } })
         );
-        const [[kept]] = planCounts([zone("a", { steady, reclaimable }), ...others], { leastNeeded: 2 });
+        const [[kept]] = planCounts([zone("a", { steady, reclaimable }), ...others], { minNeeded: 2 });
         assert.equal(kept, 2);
     });
 
@@ -112,6 +112,6 @@
         // Prevents a shortage when a zone is lost while another one is evacuated, and cold upstreams once that one is restored.
         const ready = { ready: 3, ordered: 3, soldOut: false };
         const zones = NAMES.map(name => zone(name, { reclaimable: ready, isEvacuated: name === "b" }));
-        assert.deepEqual(planCounts(zones, { needed: 8, most: 9 }), [[0, 4], [0, 3], [0, 4], [0, 4]]);
+        assert.deepEqual(planCounts(zones, { needed: 8, maxPerZone: 9 }), [[0, 4], [0, 3], [0, 4], [0, 4]]);
     });
 });
--- a/src/usage/index.ts
+++ b/src/usage/index.ts
@@ -4,8 +4,8 @@
  */
 export * from "./runStarts/index.js";
 export * from "./sequenceSet/index.js";
-export * from "./spendBook/index.js";
+export * from "./spendLedger/index.js";
+export * from "./startLedger/index.js";
 export * from "./startMeter/index.js";
-export * from "./startsBook/index.js";
-export * from "./usageBook/index.js";
 export * from "./usageCommands/index.js";
+export * from "./usageLedger/index.js";
--- a/src/usage/runStarts/index.ts
+++ b/src/usage/runStarts/index.ts
@@ -1,23 +1,23 @@
 import { WorkspaceId } from "../../ids/index.js";
-import { StartWindow } from "../startMeter/index.js";
-import { StartCounts } from "../startsBook/index.js";
+import { StartCounts } from "../startLedger/index.js";
+import { StartWindowCounts } from "../startMeter/index.js";
 
 /** Identifies one run of an entry process: its host and incarnation, separated by a space. */
 export type EntryRunKey = string;
 
 /** Request starts that one run of an entry has counted, by window. */
-export interface RunReport {
+export interface RunStartWindows {
     readonly run: EntryRunKey;
-    readonly windows: readonly StartWindow[];
+    readonly windows: readonly StartWindowCounts[];
 }
 
 /**
  * Writes the counts of windows that are not closed yet to the control log, so that they survive the loss of every process that has
  * received them.
  */
-export interface NoteStartsCommand {
+export interface RecordStartsCommand {
     readonly kind: "starts.note";
-    readonly runs: readonly RunReport[];
+    readonly runs: readonly RunStartWindows[];
 }
 
 type CountsByWindow = Map<number, StartCounts>;
@@ -42,7 +42,7 @@
      *
      * @returns The counts that were higher than the stored ones.
      */
-    merge(run: EntryRunKey, windows: readonly StartWindow[]): readonly StartWindow[] {
+    merge(run: EntryRunKey, windows: readonly StartWindowCounts[]): readonly StartWindowCounts[] {
         const stored = this.runs.get(run) ?? new Map<number, StartCounts>();
         if (windows.length > 0) this.runs.set(run, stored);
         return windows.flatMap(({ window, counts }) => {
@@ -54,12 +54,12 @@
     }
 
     /** Merges the reports of several runs. */
-    mergeAll(reports: readonly RunReport[]): void {
+    mergeAll(reports: readonly RunStartWindows[]): void {
         for (const { run, windows } of reports) this.merge(run, windows);
     }
 
     /** Lists the counts of every run. */
-    list(): readonly RunReport[] {
+    list(): readonly RunStartWindows[] {
         return [...this.runs].map(([run, windows]) => ({
             run,
             windows: [...windows].map(([window, counts]) => ({ window, counts })),
@@ -79,18 +79,18 @@
     }
 
     /** Returns the earliest window that has counts; undefined when there are none. */
-    firstWindow(): number | undefined {
+    earliestWindow(): number | undefined {
         const windows = [...this.runs.values()].flatMap(known => [...known.keys()]);
         return windows.length === 0 ? undefined : Math.min(...windows);
     }
 
     /** Removes the windows before this one. */
-    forgetBefore(oldest: number): void {
-        this.forget(window => window < oldest);
+    dropBefore(oldest: number): void {
+        this.dropWhere(window => window < oldest);
     }
 
     /** Removes the windows for which the predicate holds. */
-    forget(isDropped: (window: number) => boolean): void {
+    dropWhere(isDropped: (window: number) => boolean): void {
         for (const [run, windows] of this.runs) {
             for (const window of windows.keys()) {
                 if (isDropped(window)) windows.delete(window);
--- a/src/usage/runStarts/test.ts
+++ b/src/usage/runStarts/test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { StartCounts } from "../startsBook/index.js";
+import { StartCounts } from "../startLedger/index.js";
 import { RunStarts } from "./index.js";
 
 function counts(parts: Record<string, number>): StartCounts {
@@ -47,8 +47,8 @@
         const starts = new RunStarts();
         starts.merge("a 1", [{ window: 4, counts: counts({ butcher: 3 }) }]);
         starts.merge("b 1", [{ window: 6, counts: counts({ butcher: 3 }) }]);
-        starts.forgetBefore(5);
+        starts.dropBefore(5);
         assert.deepEqual(starts.list().map(({ run }) => run), ["b 1"]);
-        assert.equal(starts.firstWindow(), 6);
+        assert.equal(starts.earliestWindow(), 6);
     });
 });
--- a/src/usage/spendBook/index.ts
+++ b/src/usage/spendLedger/index.ts
@@ -58,7 +58,7 @@
  * @example
  * const { granted } = ledger.reserve(command, limit, context);
  */
-export class SpendBook {
+export class SpendLedger {
     private readonly runs = new Map<string, RunState>();
     /** Tokens granted, by window and workspace. */
     private readonly windows = new Map<WindowStart, Map<WorkspaceId, number>>();
--- a/src/usage/spendBook/test.ts
+++ b/src/usage/spendLedger/test.ts
@@ -3,7 +3,7 @@
 import { describe, it } from "node:test";
 import type { LogIndex, WindowStart, WorkspaceId } from "../../ids/index.js";
 import type { ReserveCommand } from "../usageCommands/index.js";
-import { SpendBook } from "./index.js";
+import { SpendLedger } from "./index.js";
 
 const WORKSPACE = "school" as WorkspaceId;
 const WINDOW = 0 as WindowStart;
@@ -26,7 +26,7 @@
                 fc.boolean(),
             ));
             const check = (asks: [string, number, number, boolean][]): void => {
-                let book = new SpendBook();
+                let book = new SpendLedger();
                 const granted = new Map<string, number>();
                 for (const [host, sequence, tokens, restarts] of asks) {
                     const answer = book.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
@@ -35,7 +35,7 @@
                     granted.set(name, answer);
                     if (restarts) {
                         const snapshot = book.snapshot();
-                        book = new SpendBook();
+                        book = new SpendLedger();
                         book.restore(snapshot);
                     }
                 }
@@ -47,17 +47,17 @@
         it("grants nothing in a window that is closed", () => {
             // Prevents a limit spent twice in one window: the window is closed while an entry still uses it, the sums are
             // dropped, and the entry's next request would get the whole limit again.
-            let book = new SpendBook();
+            let book = new SpendLedger();
             assert.equal(book.reserve(makeReserve("a", 1, 100), 100, CONTEXT).granted, 100);
             book.closeWindows(WINDOW);
             const snapshot = book.snapshot();
-            book = new SpendBook();
+            book = new SpendLedger();
             book.restore(snapshot);
             assert.equal(book.reserve(makeReserve("a", 2, 100), 100, CONTEXT).granted, 0);
         });
 
         it("grants nothing to a request so old that its result is no longer kept", () => {
-            const book = new SpendBook();
+            const book = new SpendLedger();
             for (let sequence = 1; sequence <= 2_000; sequence++) {
                 book.reserve(makeReserve("a", sequence, 1), undefined, CONTEXT);
             }
--- a/src/usage/startsBook/index.ts
+++ b/src/usage/startLedger/index.ts
@@ -21,14 +21,14 @@
 }
 
 /** A closed window, whose counts never change again. */
-export interface ClosedStarts {
+export interface ClosedStartWindow {
     readonly window: number;
     readonly counts: StartCounts;
     readonly reported: boolean;
 }
 
 /** The closed windows, as stored in a snapshot of the control log. */
-export type StartsSnapshot = readonly ClosedStarts[];
+export type StartsSnapshot = readonly ClosedStartWindow[];
 
 /**
  * The closed windows of request starts, as state of the control log.
@@ -39,8 +39,8 @@
  * @example
  * ledger.close({ kind: "starts.close", window: 353_445_120, counts });
  */
-export class StartsBook {
-    private windows = new Map<number, ClosedStarts>();
+export class StartLedger {
+    private windows = new Map<number, ClosedStartWindow>();
 
     /** Highest closed window; undefined before the first close. */
     get lastClosed(): number | undefined {
@@ -57,7 +57,7 @@
      *
      * @returns The window with its final counts.
      */
-    close({ window, counts }: CloseStartsCommand): ClosedStarts {
+    close({ window, counts }: CloseStartsCommand): ClosedStartWindow {
         const known = this.windows.get(window);
         if (known) return known;
         const closed = { window, counts, reported: false };
@@ -72,7 +72,7 @@
     }
 
     /** Lists the closed windows that the platform has not accepted, oldest first. */
-    listUnreported(): readonly ClosedStarts[] {
+    listUnreported(): readonly ClosedStartWindow[] {
         const open = [...this.windows.values()].filter(({ reported }) => !reported);
         return open.sort((a, b) => a.window - b.window);
     }
--- a/src/usage/startsBook/test.ts
+++ b/src/usage/startLedger/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { CloseStartsCommand, StartsBook } from "./index.js";
+import { CloseStartsCommand, StartLedger } from "./index.js";
 
 function close(window: number, count: number): CloseStartsCommand {
     return { kind: "starts.close", window, counts: { butcher: count } as CloseStartsCommand["counts"] };
@@ -10,24 +10,24 @@
     it("keeps the first counts of a window", () => {
         // Prevents two reports of one window with different figures, and a disputed bill: a holder closes the window and is lost
         // before it has reported it, and its successor has meanwhile received counts of more requests.
-        const book = new StartsBook();
+        const book = new StartLedger();
         book.close(close(5, 10));
         assert.equal(book.close(close(5, 12)).counts["butcher" as never], 10);
         assert.deepEqual(book.listUnreported(), [{ window: 5, counts: { butcher: 10 }, reported: false }]);
     });
 
     it("lists what is not reported, the oldest first, also after a snapshot", () => {
-        const book = new StartsBook();
+        const book = new StartLedger();
         for (const window of [7, 5, 6]) book.close(close(window, window));
         book.markReported({ kind: "starts.reported", window: 6 });
-        const restored = new StartsBook();
+        const restored = new StartLedger();
         restored.restore(book.snapshot());
         assert.deepEqual(restored.listUnreported().map(({ window }) => window), [5, 7]);
         assert.equal(restored.lastClosed, 7);
     });
 
     it("drops only the oldest reported windows", () => {
-        const book = new StartsBook();
+        const book = new StartLedger();
         book.close(close(0, 1));
         for (let window = 1; window <= 1_010; window++) {
             book.close(close(window, 1));
--- a/src/usage/startMeter/index.ts
+++ b/src/usage/startMeter/index.ts
@@ -1,11 +1,11 @@
 import { WorkspaceId } from "../../ids/index.js";
-import { StartCounts } from "../startsBook/index.js";
+import { StartCounts } from "../startLedger/index.js";
 
 /** Windows older than this are closed on every host and are dropped. */
 const RETENTION_MS = 60_000;
 
 /** Request starts that one entry has counted in one window so far. */
-export interface StartWindow {
+export interface StartWindowCounts {
     /** The window's number: true time divided by the window length, rounded down. */
     readonly window: number;
     readonly counts: StartCounts;
@@ -32,7 +32,7 @@
      *
      * @param at - True time at which the request started to run, in milliseconds since the epoch.
      */
-    note(workspace: WorkspaceId, at: number): void {
+    recordStart(workspace: WorkspaceId, at: number): void {
         const window = Math.floor(at / this.windowMs);
         const counts = this.windows.get(window) ?? new Map<WorkspaceId, number>();
         counts.set(workspace, (counts.get(workspace) ?? 0) + 1);
@@ -43,12 +43,12 @@
     }
 
     /** Registers a listener that is called after each request start counted. */
-    onNote(listener: () => void): void {
+    onStart(listener: () => void): void {
         this.listeners.push(listener);
     }
 
     /** Returns the counts that changed since the previous call. */
-    takeNews(): readonly StartWindow[] {
+    takeChanges(): readonly StartWindowCounts[] {
         const changes = [...this.changed].map(([window, workspaces]) => {
             const counts = [...workspaces].map(workspace => [workspace, this.windows.get(window)?.get(workspace) ?? 0]);
             return { window, counts: Object.fromEntries(counts) as StartCounts };
@@ -58,7 +58,7 @@
     }
 
     /** Returns the windows of the last minute, and drops older ones. */
-    list(now: number): readonly StartWindow[] {
+    list(now: number): readonly StartWindowCounts[] {
         const oldest = Math.floor((now - RETENTION_MS) / this.windowMs);
         for (const window of this.windows.keys()) {
             if (window < oldest) this.windows.delete(window);
--- a/src/usage/startMeter/test.ts
+++ b/src/usage/startMeter/test.ts
@@ -8,7 +8,7 @@
 describe("StartMeter", () => {
     it("counts by window and workspace", () => {
         const meter = new StartMeter(5_000);
-        for (const at of [10_000, 14_999, 15_000]) meter.note(BUTCHER, at);
+        for (const at of [10_000, 14_999, 15_000]) meter.recordStart(BUTCHER, at);
         assert.deepEqual(meter.list(16_000), [
             { window: 2, counts: { butcher: 2 } },
             { window: 3, counts: { butcher: 1 } },
@@ -18,19 +18,19 @@
     it("returns each change once, and notifies its listeners", () => {
         const meter = new StartMeter(5_000);
         let notified = 0;
-        meter.onNote(() => notified++);
-        meter.note(BUTCHER, 10_000);
-        meter.note("hotel" as WorkspaceId, 10_000);
-        assert.deepEqual(meter.takeNews(), [{ window: 2, counts: { butcher: 1, hotel: 1 } }]);
-        meter.note(BUTCHER, 11_000);
-        assert.deepEqual(meter.takeNews(), [{ window: 2, counts: { butcher: 2 } }]);
-        assert.deepEqual(meter.takeNews(), []);
+        meter.onStart(() => notified++);
+        meter.recordStart(BUTCHER, 10_000);
+        meter.recordStart("hotel" as WorkspaceId, 10_000);
+        assert.deepEqual(meter.takeChanges(), [{ window: 2, counts: { butcher: 1, hotel: 1 } }]);
+        meter.recordStart(BUTCHER, 11_000);
+        assert.deepEqual(meter.takeChanges(), [{ window: 2, counts: { butcher: 2 } }]);
+        assert.deepEqual(meter.takeChanges(), []);
         assert.equal(notified, 3);
     });
 
     it("drops windows older than a minute", () => {
         const meter = new StartMeter(5_000);
-        meter.note(BUTCHER, 10_000);
+        meter.recordStart(BUTCHER, 10_000);
         assert.deepEqual(meter.list(80_000), []);
     });
 });
--- a/src/usage/usageBook/index.ts
+++ b/src/usage/usageLedger/index.ts
@@ -12,7 +12,7 @@
 const RUN_RETENTION_MS = 7 * 24 * 3_600_000;
 
 /** Closes a window: its figures never change after this log entry. */
-export interface CloseWindowCommand {
+export interface CloseUsageCommand {
     readonly kind: "usage.close";
     readonly window: WindowStart;
     /** The window's length, in milliseconds. */
@@ -20,7 +20,7 @@
 }
 
 /** Records that the platform has accepted a window's report. */
-export interface ReportedCommand {
+export interface UsageReportedCommand {
     readonly kind: "usage.reported";
     readonly reportId: ReportId;
 }
@@ -93,7 +93,7 @@
  * @example
  * ledger.count(batch, context);
  */
-export class UsageBook {
+export class UsageLedger {
     private readonly open = new Map<WindowStart, WindowState>();
     private readonly closed = new Map<ReportId, ClosedWindow>();
     private readonly runs = new Map<string, RunState>();
@@ -107,7 +107,7 @@
     }
 
     /** Freezes a window's figures. Closing it again changes nothing. */
-    close({ window, windowMs }: CloseWindowCommand, context: ApplyContext): void {
+    close({ window, windowMs }: CloseUsageCommand, context: ApplyContext): void {
         if (window < this.openFrom) return;
         const earlier = [...this.open.keys()].filter(start => start <= window).sort((a, b) => a - b);
         for (const start of earlier) this.freeze(start, windowMs, context);
@@ -115,7 +115,7 @@
     }
 
     /** Records that the platform has accepted a window's report. */
-    markReported({ reportId }: ReportedCommand, context: ApplyContext): void {
+    markReported({ reportId }: UsageReportedCommand, context: ApplyContext): void {
         const closed = this.closed.get(reportId);
         if (!closed || closed.reportedAt !== undefined) return;
         this.closed.delete(reportId);
--- a/src/usage/usageBook/test.ts
+++ b/src/usage/usageLedger/test.ts
@@ -5,7 +5,7 @@
 import type { LogIndex, ReportId, WindowStart } from "../../ids/index.js";
 import { decodeValue, encodeValue } from "../../wire/index.js";
 import type { UsageBatchCommand } from "../usageCommands/index.js";
-import { UsageBook, UsageSnapshot } from "./index.js";
+import { UsageLedger, UsageSnapshot } from "./index.js";
 
 const WINDOW_MS = 1_000;
 const CONTEXT: ApplyContext = { index: 1 as LogIndex, proposedAt: 5 };
@@ -16,17 +16,17 @@
     return { kind: "usage.batch", host, incarnation: "1", sequence, sums: [{ window: window as WindowStart, line }] };
 }
 
-function close(ledger: UsageBook, window: number): void {
+function close(ledger: UsageLedger, window: number): void {
     ledger.close({ kind: "usage.close", window: window as WindowStart, windowMs: WINDOW_MS }, CONTEXT);
 }
 
-function restart(ledger: UsageBook): UsageBook {
-    const copy = new UsageBook();
+function restart(ledger: UsageLedger): UsageLedger {
+    const copy = new UsageLedger();
     copy.restore(decodeValue(encodeValue(ledger.snapshot())) as UsageSnapshot);
     return copy;
 }
 
-function sumTokens(ledger: UsageBook): number {
+function sumTokens(ledger: UsageLedger): number {
     const windows = [...ledger.listOpen(), ...ledger.listClosed()];
     return windows.flatMap(window => window.lines).reduce((sum, line) => sum + line.prompt_tokens, 0);
 }
@@ -36,7 +36,7 @@
         it("is counted once", () => {
             // Prevents double billing: the entry's batch is applied, the answer is lost with the holder, and the entry resends the
             // batch to the new holder, which must recognise it as a duplicate.
-            let ledger = new UsageBook();
+            let ledger = new UsageLedger();
             assert.deepEqual(ledger.count(makeBatch("a", 1, 0, 10), CONTEXT), { counted: true });
             ledger = restart(ledger);
             assert.deepEqual(ledger.count(makeBatch("a", 1, 0, 10), CONTEXT), { counted: false });
@@ -48,7 +48,7 @@
         it("is an adjustment in the next window, and the closed window stays unchanged", () => {
             // Prevents a resent report with higher figures than the first: the platform has the window's report, an entry that was
             // cut off sends the rest of its usage, and the window's sums would go on growing after the close.
-            const ledger = new UsageBook();
+            const ledger = new UsageLedger();
             ledger.count(makeBatch("a", 1, 0, 10), CONTEXT);
             close(ledger, 0);
             const frozen = structuredClone(ledger.listClosed());
@@ -76,7 +76,7 @@
 });
 
 function checkSchedule(steps: readonly { act: string; host: string; sequence: number; window: number; }[]): void {
-    let ledger = new UsageBook();
+    let ledger = new UsageLedger();
     const counted = new Map<string, number>();
     const frozen = new Map<ReportId, string>();
     for (const { act, host, sequence, window } of steps) {
--- a/src/workspace/workspaceRegistry/index.ts
+++ b/src/workspace/workspaceRegistry/index.ts
@@ -33,7 +33,7 @@
 }
 
 /** The workspaces and keys whose views at the entries are outdated by a change. */
-export interface TouchedViews {
+export interface AffectedViews {
     readonly workspaces: readonly WorkspaceId[];
     readonly keys: readonly KeyHash[];
 }
@@ -41,7 +41,7 @@
 /** The result of a change, and the views that it affects if it was applied. */
 export interface ChangeOutcome {
     readonly result: ChangeResult;
-    readonly touched?: TouchedViews;
+    readonly touched?: AffectedViews;
 }
 
 /** Complete state of the registry. */
@@ -300,6 +300,6 @@
     return { result: { kind: "refused", reason, message } };
 }
 
-function done(context: ApplyContext, touched: TouchedViews): ChangeOutcome {
+function done(context: ApplyContext, touched: AffectedViews): ChangeOutcome {
     return { result: { kind: "done", revision: context.index as number as Revision }, touched };
 }
