--- a/src/bench/slopes/probes/entry/emulatedEngine.ts
+++ b/src/bench/slopes/probes/entry/emulatedEngine.ts
@@ -56,7 +56,7 @@
                 path: ANNOUNCE_PATH,
                 headers: [],
                 body: Buffer.from(JSON.stringify({ ...announcement, address: `${host}:${port}`, cache: undefined })),
-                fresh: false,
+                newConnection: false,
                 connectTimeoutMs: TIMEOUT_MS,
                 headTimeoutMs: TIMEOUT_MS,
             });
--- a/src/bench/slopes/probes/entry/index.ts
+++ b/src/bench/slopes/probes/entry/index.ts
@@ -64,7 +64,7 @@
         const lifecycle = new Lifecycle();
         const emulatedEngine = new EmulatedEngine(clock, http);
         await emulatedEngine.start();
-        lifecycle.own(() => emulatedEngine.close());
+        lifecycle.addCleanUp(() => emulatedEngine.close());
         const entry = await startFleet(emulatedEngine, lifecycle);
         const routes: Routes = { entry: entry.callerAddress!, direct: emulatedEngine.address, emulatedEngine };
         await sendAtRate(routes, "entry", REQUEST_RATES[0]);
@@ -150,7 +150,7 @@
         path: route === "entry" ? CALLER_PATHS.chat : ENGINE_PATHS.chat,
         headers: [["authorization", `Bearer ${API_KEY}`], ["content-type", "application/json"]],
         body: Buffer.from(JSON.stringify(body)),
-        fresh: false,
+        newConnection: false,
         connectTimeoutMs: LONG_TIMEOUT_MS,
         headTimeoutMs: LONG_TIMEOUT_MS,
     });
@@ -163,7 +163,7 @@
     const ports = { clock, random, network, http, logger, timing: DEFAULT_PEER_TIMING, windowMs: WINDOW_MS };
     const controlPeers = await findFreeAddress();
     const control = await startControl(ports, controlPeers);
-    lifecycle.own(() => control.close());
+    lifecycle.addCleanUp(() => control.close());
     await grantKey(control);
     const upstreams = await findFreeAddress();
     const entry = await EntryProcess.start({
@@ -181,7 +181,7 @@
         limits: DEFAULT_ENTRY_LIMITS,
         balancerMs: 0,
     });
-    lifecycle.own(() => entry.close());
+    lifecycle.addCleanUp(() => entry.close());
     lifecycle.run(signal => emulatedEngine.announce(upstreams, signal), () => undefined);
     await clock.sleep(RUN_MS);
     return entry;
--- a/src/bench/slopes/probes/log/index.ts
+++ b/src/bench/slopes/probes/log/index.ts
@@ -90,7 +90,7 @@
             timing: DEFAULT_PEER_TIMING,
             address: { host: "127.0.0.1", port: 0 },
         });
-        lifecycle.own(() => listener.close());
+        lifecycle.addCleanUp(() => listener.close());
         voters.push({ router, host, address: listener.address });
     }
     const bootstrap = voters.map(({ host, address }) => ({ host, address }));
@@ -115,7 +115,7 @@
             },
             logger: new SilentLogger(),
         });
-        lifecycle.own(() => log.close());
+        lifecycle.addCleanUp(() => log.close());
         log.start();
         logs.push(log);
     }
--- a/src/bench/slopes/probes/wire/index.ts
+++ b/src/bench/slopes/probes/wire/index.ts
@@ -62,7 +62,7 @@
     const timing = DEFAULT_PEER_TIMING;
     const self = { host: "server" as HostId, incarnation: "1" as Incarnation };
     const listener = await servePeers({ network, clock, address: LOOPBACK, self, router, timing });
-    lifecycle.own(() => listener.close());
+    lifecycle.addCleanUp(() => listener.close());
     const links: PeerLink[] = [];
     for (let index = 0; index < count; index++) {
         const linkSelf = { host: `client-${index}` as HostId, incarnation: "1" as Incarnation };
--- a/src/consensus/clusterBootstrap/test.ts
+++ b/src/consensus/clusterBootstrap/test.ts
@@ -68,7 +68,7 @@
 
     it("rejects status requests while it joins a cluster", async () => {
         const { clock, disk, links, bootstrap } = await openHostB();
-        disk.syncMs = 50;
+        disk.syncDurationMs = 50;
         links.statuses.set("a", makeBootstrappedStatus("first", "a1"));
         await clock.advance(FLEET_TIMING.heartbeatMs / 4 + 10);
         assert.throws(() => bootstrap.handleStatus({ host: "a" as HostId, storeId: "a2" as StoreId }));
@@ -114,7 +114,7 @@
         // discovers the new cluster, and the failed write must not end the replica. (Seed 1294 of the fault schedules.)
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
-        fleet.find("c").disk.capacity = 1;
+        fleet.find("c").disk.capacityBytes = 1;
         await fleet.pass(10_000);
         fleet.mendDisks();
         await fleet.converge();
@@ -124,7 +124,7 @@
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
         await fleet.passUntil(() => fleet.isWhole());
-        for (const { disk } of fleet.hosts.values()) disk.capacity = 1;
+        for (const { disk } of fleet.hosts.values()) disk.capacityBytes = 1;
         fleet.propose(fleet.holder()!.process!);
         await fleet.pass(20_000);
         fleet.mendDisks();
--- a/src/consensus/election/test.ts
+++ b/src/consensus/election/test.ts
@@ -85,7 +85,7 @@
             await fleet.proposeMany(20);
             const first = fleet.holder()!;
             for (const { disk, name } of fleet.hosts.values()) {
-                if (name !== first.name) disk.syncMs = 3_000;
+                if (name !== first.name) disk.syncDurationMs = 3_000;
             }
             fleet.propose(first.process!);
             await fleet.passUntil(() => fleet.acked.size === 21);
@@ -144,7 +144,7 @@
             const fleet = await startFleet(1);
             const { process } = fleet.holder()!;
             const token = process!.log.fencingToken();
-            process!.host.clock.setForward(3_000);
+            process!.host.clock.stepWallClock(3_000);
             assert.equal(process!.log.holdsLease(), false);
             await fleet.pass(2 * FLEET_TIMING.heartbeatMs + 20);
             assert.equal(process!.log.holdsLease(), true);
--- a/src/consensus/entryLog/test.ts
+++ b/src/consensus/entryLog/test.ts
@@ -21,7 +21,7 @@
     describe("append", () => {
         it("writes entries that arrive during a sync in the next sync", async () => {
             const { clock, disk, log } = await openLog();
-            disk.syncMs = 10;
+            disk.syncDurationMs = 10;
             for (let index = 1; index <= 50; index++) {
                 log.append([makeEntry(index, 1)]);
                 await clock.advance(1);
@@ -36,11 +36,11 @@
             // Prevents a host from never catching up after its disk was temporarily full. If the entry that did not fit
             // stayed in memory, the leader's resend would look already written and would not be stored.
             const { clock, disk, log } = await openLog();
-            disk.capacity = 1;
+            disk.capacityBytes = 1;
             log.append([makeEntry(1, 1)]);
             await assert.rejects(clock.runUntil(log.whenDurable(1 as LogIndex), 100));
             assert.equal(log.lastIndex, 0);
-            disk.capacity = 10_000;
+            disk.capacityBytes = 10_000;
             log.append([makeEntry(1, 1)]);
             await clock.runUntil(log.whenDurable(1 as LogIndex), 100);
         });
@@ -52,7 +52,7 @@
             // follower is still syncing. If the end of the old sync counted for the new entries, the follower would
             // acknowledge entries that are not on disk.
             const { clock, disk, log, open } = await openLog();
-            disk.syncMs = 10;
+            disk.syncDurationMs = 10;
             log.append([makeEntry(1, 1), makeEntry(2, 1)]);
             await clock.advance(5);
             log.truncateFrom(2 as LogIndex);
--- a/src/consensus/leadership/index.ts
+++ b/src/consensus/leadership/index.ts
@@ -42,7 +42,7 @@
         private readonly onLeaseExtended: () => void,
     ) {
         this.term = replica.term;
-        this.startedAt = replica.clock.elapsed();
+        this.startedAt = replica.clock.monotonicWithSuspend();
     }
 
     /**
@@ -153,7 +153,7 @@
 
     private quorumContactAt(): number {
         const { replica } = this;
-        const now = replica.clock.elapsed();
+        const now = replica.clock.monotonicWithSuspend();
         return reachedByMajority(replica.configuration, ({ storeId }) => {
             return storeId === replica.storeId ? now : this.replicators.get(storeId)?.contactAt ?? 0;
         });
@@ -169,16 +169,16 @@
      */
     private async monitorQuorum(signal: AbortSignal): Promise<void> {
         const { clock, timing } = this.replica;
-        let suspendedMs = clock.elapsed() - clock.monotonic();
+        let suspendedMs = clock.monotonicWithSuspend() - clock.monotonic();
         let resumedAt = this.startedAt;
         while (!signal.aborted) {
             await clock.sleep(timing.heartbeatMs, signal);
-            if (clock.elapsed() - clock.monotonic() - suspendedMs >= timing.heartbeatMs) {
-                suspendedMs = clock.elapsed() - clock.monotonic();
-                resumedAt = clock.elapsed();
+            if (clock.monotonicWithSuspend() - clock.monotonic() - suspendedMs >= timing.heartbeatMs) {
+                suspendedMs = clock.monotonicWithSuspend() - clock.monotonic();
+                resumedAt = clock.monotonicWithSuspend();
             }
             const contactAt = Math.max(resumedAt, this.quorumContactAt());
-            if (!signal.aborted && clock.elapsed() - contactAt > timing.leaseMs) this.replica.stepDown();
+            if (!signal.aborted && clock.monotonicWithSuspend() - contactAt > timing.leaseMs) this.replica.stepDown();
         }
     }
 
--- a/src/consensus/membershipManager/index.ts
+++ b/src/consensus/membershipManager/index.ts
@@ -171,7 +171,7 @@
         const { configuration, clock, storeId } = this.replica;
         const silentMs = (member: Member): number => {
             const contactAt = leadership.replicatorOf(member.storeId)?.contactAt ?? Number.NEGATIVE_INFINITY;
-            return clock.elapsed() - Math.max(contactAt, leadership.startedAt);
+            return clock.monotonicWithSuspend() - Math.max(contactAt, leadership.startedAt);
         };
         const others = findVoters(configuration).filter(member => member.storeId !== storeId);
         const silent = others.filter(member => silentMs(member) >= DEAD_VOTER_TIMEOUT_MS);
@@ -181,7 +181,7 @@
     private isCaughtUp(learner: Member, leadership: Leadership): boolean {
         const replicator = leadership.replicatorOf(learner.storeId);
         return replicator !== undefined && replicator.matchIndex >= this.replica.commitIndex
-            && this.replica.clock.elapsed() - replicator.contactAt < this.replica.timing.leaseMs;
+            && this.replica.clock.monotonicWithSuspend() - replicator.contactAt < this.replica.timing.leaseMs;
     }
 
     /**
@@ -194,7 +194,7 @@
             if (host !== req.host) return false;
             if (known === storeId) return true;
             const contactAt = leadership.replicatorOf(known)?.contactAt ?? Number.NEGATIVE_INFINITY;
-            return clock.elapsed() - contactAt < timing.leaseMs;
+            return clock.monotonicWithSuspend() - contactAt < timing.leaseMs;
         });
     }
 
--- a/src/consensus/membershipManager/test.ts
+++ b/src/consensus/membershipManager/test.ts
@@ -52,7 +52,7 @@
             const accepted = fleet.holder()!.process!.log.appliedIndex();
             fleet.wipe(lost);
             await fleet.start(lost);
-            fleet.find(lost).disk.syncMs = 1_000;
+            fleet.find(lost).disk.syncDurationMs = 1_000;
             await fleet.passUntil(() => fleet.isWhole());
             assert.ok(fleet.find(lost).process!.log["replica"].log.durableIndex >= accepted);
         });
@@ -64,7 +64,7 @@
             fleet.crash(followersOf(fleet)[0]);
             const added = fleet.addHost("x");
             await fleet.start("x");
-            added.disk.syncMs = 1_000;
+            added.disk.syncDurationMs = 1_000;
             await fleet.passUntil(() => fleet.holder()!.process!.log.configuration().members.length === 4);
             fleet.crash("x");
             await fleet.proposeMany(5);
--- a/src/consensus/replica/index.ts
+++ b/src/consensus/replica/index.ts
@@ -1,5 +1,5 @@
 import { ClusterId, HostId, LogIndex, StoreId, Term } from "../../ids/index.js";
-import { Gate } from "../../lifecycle/index.js";
+import { WaitCondition } from "../../lifecycle/index.js";
 import { Logger } from "../../logging/index.js";
 import { Clock } from "../../ports/index.js";
 import { LogStore, StoredEntry, StoreError } from "../../store/index.js";
@@ -58,7 +58,7 @@
     readonly store: LogStore;
     readonly logger: Logger;
     /** Opened at each change of role, term or configuration. */
-    readonly changed = new Gate();
+    readonly changed = new WaitCondition();
     private readonly options: ReplicaOptions;
     private readonly votingState: VotingState;
     private readonly configurations: MemberHistory;
@@ -97,7 +97,7 @@
         this.applier = new Applier(options.stateMachine, options.logger, this.committedIndex);
         const members = store.snapshot ? store.snapshot.configuration : store.identity.founding;
         const base = members as Configuration | undefined ?? EMPTY_CONFIGURATION;
-        this.configurations = new MemberHistory(this.committedIndex, base, () => this.changed.open());
+        this.configurations = new MemberHistory(this.committedIndex, base, () => this.changed.notifyAll());
         const state = store.takeLoadedSnapshotState();
         if (state) this.applier.restore(this.committedIndex, state);
         const rest = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
@@ -141,7 +141,7 @@
     endRestartPause(): void {
         this.restartPauseUntil = Number.NEGATIVE_INFINITY;
         this.logger.info("restart-pause-ended", { term: this.term });
-        this.changed.open();
+        this.changed.notifyAll();
     }
 
     get commitIndex(): LogIndex {
@@ -223,7 +223,7 @@
         this.votingState.advanceTerm(term);
         this.knownLeader = undefined;
         this.stepDown();
-        this.changed.open();
+        this.changed.notifyAll();
     }
 
     /** Starts a new term as a candidate, with a persisted vote for itself. */
@@ -262,7 +262,7 @@
         if (this.hasLeadership) throw new Error(`two leaders in term ${message.term}`);
         if (this.knownLeader?.storeId !== message.from) {
             this.knownLeader = { host: message.host, storeId: message.from };
-            this.changed.open();
+            this.changed.notifyAll();
         }
         this.leaderPromiseUntil = Math.max(this.leaderPromiseUntil, this.clock.monotonic() + this.timing.leaseMs);
         this.promisedLeader = message.from;
@@ -273,7 +273,7 @@
     becomeLeader(): void {
         this.hasLeadership = true;
         this.knownLeader = { host: this.host, storeId: this.storeId };
-        this.changed.open();
+        this.changed.notifyAll();
     }
 
     /** Stops leading. Has no effect on a replica that does not lead. */
@@ -282,7 +282,7 @@
         this.hasLeadership = false;
         this.knownLeader = undefined;
         this.options.events.onStepDown();
-        this.changed.open();
+        this.changed.notifyAll();
     }
 
     /** Appends a new entry as the leader. */
--- a/src/consensus/replica/test.ts
+++ b/src/consensus/replica/test.ts
@@ -79,7 +79,7 @@
             // Prevents two leaders in one term, which lose what one of them accepted. A host votes, loses power, comes
             // back and votes for another candidate in the same term, if its reply was sent before the vote was synced.
             const { clock, disk, openStore, replica } = await openReplica();
-            disk.syncMs = 5;
+            disk.syncDurationMs = 5;
             const request = { cluster: CLUSTER, from: "b1", to: replica.storeId, term: 7, lastIndex: 1, lastTerm: 1 };
             const answering = new Follower(replica).handleVote({ ...request, pre: false } as VoteRequest);
             assert.equal((await clock.runUntil(answering, 100)).granted, true);
@@ -89,7 +89,7 @@
 
         it("for itself is on disk before it requests votes from others", async () => {
             const { clock, disk, openStore, replica } = await openReplica();
-            disk.syncMs = 5;
+            disk.syncDurationMs = 5;
             const term = await clock.runUntil(replica.startElectionTerm(), 100);
             disk.crash();
             assert.deepEqual((await openStore()).vote, { term, votedFor: replica.storeId });
--- a/src/consensus/replicatedLog/index.ts
+++ b/src/consensus/replicatedLog/index.ts
@@ -1,6 +1,6 @@
 import { Either, Left, Right } from "purify-ts";
 import { FencingToken, HostId, LogIndex, StoreId } from "../../ids/index.js";
-import { Gate, Lifecycle } from "../../lifecycle/index.js";
+import { Lifecycle, WaitCondition } from "../../lifecycle/index.js";
 import { Logger } from "../../logging/index.js";
 import { Address, Clock, Disk, Network, Random, Timer } from "../../ports/index.js";
 import { LogStore } from "../../store/index.js";
@@ -76,7 +76,7 @@
     private readonly clusterBootstrap: ClusterBootstrap;
     private readonly membershipManager: MembershipManager;
     private readonly listeners = new Set<(holds: boolean) => void>();
-    private readonly entryApplied = new Gate();
+    private readonly entryApplied = new WaitCondition();
     private leadership: Leadership | undefined;
     private leaseExpiryTimer: Timer | undefined;
     private lastNotifiedHolds = false;
@@ -101,14 +101,14 @@
                 onDurable: () => this.onEntriesDurable(),
                 onApplied: (entry, result) => {
                     this.leadership?.resolveProposal(entry, result);
-                    this.entryApplied.open();
+                    this.entryApplied.notifyAll();
                     this.snapshotter.takeIfDue();
                 },
                 onStepDown: () => this.endLeadership(),
                 onFailure: err => void this.end(err),
             },
         });
-        this.lifecycle.own(() => this.replica.close());
+        this.lifecycle.addCleanUp(() => this.replica.close());
         this.links = new PeerLinks({ ...options, timing: peerTiming }, this.lifecycle);
         this.follower = new Follower(this.replica);
         this.restartPause = new RestartPause(this.replica, this.links);
@@ -164,7 +164,7 @@
     holdsLease(): boolean {
         const { leadership } = this;
         if (!leadership?.isEstablished || this.lifecycle.isClosing) return false;
-        return this.replica.clock.elapsed() < leadership.leaseUntil();
+        return this.replica.clock.monotonicWithSuspend() < leadership.leaseUntil();
     }
 
     fencingToken(): FencingToken {
@@ -317,7 +317,7 @@
         const holds = this.holdsLease();
         this.leaseExpiryTimer?.cancel();
         if (holds) {
-            const remaining = this.leadership!.leaseUntil() - this.replica.clock.elapsed();
+            const remaining = this.leadership!.leaseUntil() - this.replica.clock.monotonicWithSuspend();
             const maxMs = this.replica.timing.leaseMs;
             this.leaseExpiryTimer = this.replica.clock.after(
                 Math.min(remaining, maxMs),
--- a/src/consensus/replicatedLog/test.ts
+++ b/src/consensus/replicatedLog/test.ts
@@ -126,7 +126,7 @@
             const holder = fleet.holder()!;
             const [slow, down] = namesExcept(fleet, holder.name);
             fleet.crash(down);
-            fleet.find(slow).disk.syncMs = 5_000;
+            fleet.find(slow).disk.syncDurationMs = 5_000;
             fleet.propose(holder.process!);
             for (let step = 0; step < 40; step++) {
                 await fleet.pass(100);
@@ -146,7 +146,7 @@
             const [other, down] = namesExcept(fleet, holder.name);
             fleet.crash(down);
             for (let round = 0; round < 10; round++) {
-                fleet.fabric.forget(holder.name, other);
+                fleet.fabric.blackholeConnections(holder.name, other);
                 for (let step = 0; step < 40; step++) {
                     await fleet.pass(100);
                     assert.ok(holder.process!.log.holdsLease());
@@ -163,7 +163,7 @@
             const fleet = await startFleet();
             await fleet.proposeMany(20);
             const first = fleet.holder()!;
-            first.disk.capacity = 1;
+            first.disk.capacityBytes = 1;
             fleet.propose(first.process!);
             await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder() !== first);
             await fleet.proposeMany(20);
--- a/src/consensus/replicator/index.ts
+++ b/src/consensus/replicator/index.ts
@@ -1,6 +1,6 @@
 import { Either } from "purify-ts";
 import { LogIndex, Term } from "../../ids/index.js";
-import { Gate, Lifecycle } from "../../lifecycle/index.js";
+import { Lifecycle, WaitCondition } from "../../lifecycle/index.js";
 import { PeerError } from "../../wire/index.js";
 import { Member } from "../member/index.js";
 import {
@@ -37,7 +37,7 @@
  */
 export class Replicator {
     private readonly lifecycle = new Lifecycle();
-    private readonly workAvailable = new Gate();
+    private readonly workAvailable = new WaitCondition();
     private readonly term: Term;
     private nextIndex: LogIndex;
     private matchedIndex = 0 as LogIndex;
@@ -77,7 +77,7 @@
 
     /** Wakes the task that sends entries. */
     wake(): void {
-        this.workAvailable.open();
+        this.workAvailable.notifyAll();
     }
 
     close(): Promise<void> {
@@ -89,7 +89,7 @@
         const { replica } = this;
         // Read before the request is sent: the peer's promise starts later, so the lease counted from here ends
         // earlier.
-        const sentAt = replica.clock.elapsed();
+        const sentAt = replica.clock.monotonicWithSuspend();
         const request: HeartbeatRequest = { ...this.header(), commit: replica.commitIndex };
         const reply = await this.call<HeartbeatReply>(RpcMethod.Heartbeat, request, replica.timing.leaseMs);
         reply.ifRight(({ ok }) => {
@@ -152,7 +152,7 @@
                 return this.restartFrom(retry, generation, retry > prevIndex, signal);
             },
         });
-        this.workAvailable.open();
+        this.workAvailable.notifyAll();
     }
 
     private recordMatch(index: LogIndex, generation: number): void {
--- a/src/control/controlClient/index.ts
+++ b/src/control/controlClient/index.ts
@@ -87,7 +87,7 @@
 
     /** True while new work may be accepted based on the view in the cache. */
     isFresh(): boolean {
-        return this.options.clock.elapsed() < this.freshUntil;
+        return this.options.clock.monotonicWithSuspend() < this.freshUntil;
     }
 
     /** Sets whether further pulls announce that this entry is about to stop. */
@@ -155,7 +155,7 @@
             takesPacked: true,
             takesEntryChanges: true,
         };
-        const sentAt = clock.elapsed();
+        const sentAt = clock.monotonicWithSuspend();
         const pending = this.currentLink().call(VIEW_PULL_METHOD, pull, waitMs + PULL_MARGIN_MS);
         const answer = await this.raceStaleness(pending, waitMs);
         if (!answer) {
@@ -180,9 +180,9 @@
         return new Promise(resolve => {
             const check = (): void => {
                 if (!this.isFresh()) resolve(undefined);
-                else timer = clock.after(clock.untilTick(STALE_CHECK_INTERVAL_MS), check);
+                else timer = clock.after(clock.msUntilTick(STALE_CHECK_INTERVAL_MS), check);
             };
-            let timer = clock.after(clock.untilTick(STALE_CHECK_INTERVAL_MS), check);
+            let timer = clock.after(clock.msUntilTick(STALE_CHECK_INTERVAL_MS), check);
             void pending.then(answer => {
                 timer.cancel();
                 resolve(answer);
--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -27,7 +27,7 @@
 class JumpingClock extends VirtualClock {
     sleptMs = 0;
 
-    override elapsed(): number {
+    override monotonicWithSuspend(): number {
         return this.monotonic() + this.sleptMs;
     }
 }
@@ -184,7 +184,7 @@
                 const works = cache.findByKey(HASH) !== undefined;
                 assert.ok(!(withdrawn && works), "came back");
                 withdrawn ||= !works;
-                if (step === 30) fleet.fabric.forget("e1", SECOND);
+                if (step === 30) fleet.fabric.blackholeConnections("e1", SECOND);
             }
             assert.ok(withdrawn);
         });
--- a/src/control/controlProcess/index.ts
+++ b/src/control/controlProcess/index.ts
@@ -98,16 +98,16 @@
             mayBootstrap: routing?.mayBootstrap,
             targetVoters: routing?.voters,
         });
-        lifecycle.own(() => log.close());
+        lifecycle.addCleanUp(() => log.close());
         const listControls = (): string[] => log.configuration().members.map(member => formatAddress(member.address));
         const service = new ControlService({ log, state, clock, router, viewLeaseMs, listControls });
-        lifecycle.own(() => service.close());
+        lifecycle.addCleanUp(() => service.close());
         const shared = { ...options, log, state, service, router, lifecycle };
         const routingService = routing && new RoutingService({ ...shared, routing });
         const control = new ControlProcess(log, service, state, routingService, router, lifecycle);
         try {
             const peers = await servePeers({ ...options, address, router });
-            lifecycle.own(() => peers.close());
+            lifecycle.addCleanUp(() => peers.close());
         }
         catch (err) {
             await lifecycle.close();
@@ -144,7 +144,7 @@
     private makeRunner(options: ControlProcessOptions): HolderRunner {
         const { clock, network, logger, logTiming, routing } = options;
         const sender = new ConnectionSender(network, clock, routing?.platform?.maxDeliveryMs);
-        this.lifecycle.own(() => sender.resetAll());
+        this.lifecycle.addCleanUp(() => sender.resetAll());
         return new HolderRunner({
             log: this.log,
             clock,
--- a/src/control/coverPolicy/test.ts
+++ b/src/control/coverPolicy/test.ts
@@ -3,7 +3,7 @@
 import { FencingToken, OrderId } from "../../ids/index.js";
 import { SilentLogger } from "../../logging/index.js";
 import { OrderRecord } from "../../order/index.js";
-import { Address, DEFAULT_HTTP_LIMITS, MemoryFabric, MemoryWeb, VirtualClock } from "../../ports/index.js";
+import { Address, DEFAULT_HTTP_LIMITS, MemoryFabric, MemoryHttpFabric, VirtualClock } from "../../ports/index.js";
 import { Offer } from "../../protocol/index.js";
 import { CoverPurchase, DEFAULT_COVER, DEFAULT_FORECAST } from "../../purchase/index.js";
 import { PoolReport } from "../demandReport/index.js";
@@ -26,7 +26,7 @@
 /** A policy with an in-memory platform that serves offers. */
 class PolicySetup {
     readonly clock = new VirtualClock();
-    readonly web = new MemoryWeb(new MemoryFabric(this.clock, () => 1));
+    readonly web = new MemoryHttpFabric(new MemoryFabric(this.clock, () => 1));
     readonly policy = new CoverPolicy({
         offers: new OfferReader(this.web.http("10.0.0.1"), PLATFORM),
         offerPolicy: new CoverPurchase({ ...DEFAULT_COVER, holdMs: 0, defaultSlots: 4 }),
--- a/src/control/offerReader/index.ts
+++ b/src/control/offerReader/index.ts
@@ -22,7 +22,7 @@
             method: "GET",
             path: PLATFORM_PATHS.offers,
             headers: [],
-            fresh: true,
+            newConnection: true,
             connectTimeoutMs: CONNECT_TIMEOUT_MS,
             headTimeoutMs: HEAD_TIMEOUT_MS,
         });
--- a/src/control/routingService/index.ts
+++ b/src/control/routingService/index.ts
@@ -110,7 +110,7 @@
         this.subscriber = new AnnouncementSubscriber({
             ...options,
             registry: this.registry,
-            onWallTime: (host, wallMs) => this.time.learn(host, wallMs),
+            onWallTime: (host, wallMs) => this.time.addReading(host, wallMs),
         });
         this.links = new ControlLinkSet({
             ...options,
--- a/src/control/trpcHttp/index.ts
+++ b/src/control/trpcHttp/index.ts
@@ -81,7 +81,7 @@
             path: pathname + search,
             headers: [["host", `${hostname}:${port}`], ...listHeaders(init?.headers), ...length],
             ...body,
-            fresh: true,
+            newConnection: true,
             connectTimeoutMs: CONNECT_TIMEOUT_MS,
             headTimeoutMs: timeoutMs,
         });
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -36,7 +36,7 @@
     const statsdMetrics = new StatsdMetrics({
         address: metrics.statsd,
         prefix: metrics.prefix,
-        series: metrics.series,
+        maxSeries: metrics.series,
         tags: { host: host.id, role },
         onError: err => logger.warn("metrics-unsent", { problem: err.message }),
     });
--- a/src/daemon/runControl/index.ts
+++ b/src/daemon/runControl/index.ts
@@ -45,18 +45,18 @@
         platform: toPlatformAccess(ports, settings),
         routing: toRoutingDuties(settings),
     });
-    lifecycle.own(() => running.close());
+    lifecycle.addCleanUp(() => running.close());
     if (running.routing && listen.upstreams) {
         const { publisher } = running.routing;
         const upstreams = await ports.http.serve(
             listen.upstreams,
             DEFAULT_HTTP_LIMITS,
-            serveAnnouncements(announcement => publisher.take(announcement)),
+            serveAnnouncements(announcement => publisher.receive(announcement)),
         );
-        lifecycle.own(() => upstreams.close());
+        lifecycle.addCleanUp(() => upstreams.close());
     }
     const queues = running.routing && await startQueues(ports, settings, running);
-    if (queues) lifecycle.own(() => queues.close());
+    if (queues) lifecycle.addCleanUp(() => queues.close());
     const handleOperatorCall = createTrpcHandler(operatorRouter, () => ({
         log: running.log,
         state: running.state,
@@ -68,7 +68,7 @@
     }));
     const handler = serveHealth(() => running.isReady, handleOperatorCall);
     const health = await ports.http.serve(listen.operators, DEFAULT_HTTP_LIMITS, handler);
-    lifecycle.own(() => health.close());
+    lifecycle.addCleanUp(() => health.close());
     return { lifecycle, drain: async () => await queues?.drain(0) ?? true, failed: running.awaitFailure() };
 }
 
--- a/src/daemon/runEntry/index.ts
+++ b/src/daemon/runEntry/index.ts
@@ -27,7 +27,7 @@
         res.end();
     };
     const health = await ports.http.serve(listen.admin, DEFAULT_HTTP_LIMITS, serveHealth(isReady, handleAdminCall));
-    lifecycle.own(() => health.close());
+    lifecycle.addCleanUp(() => health.close());
     const entry = await EntryProcess.start({
         ...ports,
         zone: host.zone,
@@ -55,7 +55,7 @@
             startsWindowMs: usage.windowMs,
         },
     }, lifecycle.signal);
-    lifecycle.own(() => entry.close());
+    lifecycle.addCleanUp(() => entry.close());
     started.entry = entry;
     return { lifecycle, drain: () => entry.drain(stop.graceMs) };
 }
--- a/src/discovery/announcementPublisher/index.ts
+++ b/src/discovery/announcementPublisher/index.ts
@@ -71,7 +71,7 @@
      *
      * @returns Whether it may be confirmed to the upstream; otherwise the upstream should announce to another control process.
      */
-    async take(announcement: Announcement): Promise<boolean> {
+    async receive(announcement: Announcement): Promise<boolean> {
         const { registry, clock } = this.options;
         registry.announce(announcement);
         if (announcement.state === "ready") return true;
--- a/src/discovery/announcementPublisher/test.ts
+++ b/src/discovery/announcementPublisher/test.ts
@@ -30,7 +30,7 @@
             router,
             logger: new SilentLogger(),
             onWallTime,
-            levelNeeded: () => level,
+            requiredLevel: () => level,
         });
         const setLevel = (needed: UpdateLevel): void => void (level = needed);
         return { name, router, registry, self, publisher, subscriber, wallTimes, setLevel };
@@ -68,11 +68,11 @@
 describe("AnnouncementPublisher", () => {
     it("sends a new subscriber its whole state, then updates", async () => {
         const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
-        await publisher.publisher.take(makeAnnouncement({ id: "u1" }));
+        await publisher.publisher.receive(makeAnnouncement({ id: "u1" }));
         subscribe(1, 0);
         await clock.advance(100);
         assert.equal(entry.registry.get(ID)?.state, "ready");
-        await publisher.publisher.take(makeAnnouncement({ id: "u2" }));
+        await publisher.publisher.receive(makeAnnouncement({ id: "u2" }));
         await clock.advance(200);
         assert.equal(entry.registry.get("u2" as UpstreamId)?.state, "ready");
         assert.ok(entry.wallTimes.includes("control"));
@@ -86,9 +86,9 @@
         subscribe(1, 0);
         subscribe(2, 1);
         await clock.advance(100);
-        await second.publisher.take(makeAnnouncement({ sequence: 1 }));
+        await second.publisher.receive(makeAnnouncement({ sequence: 1 }));
         await clock.advance(200);
-        const accepted = first.publisher.take(makeAnnouncement({ sequence: 2, state: "leaving" }));
+        const accepted = first.publisher.receive(makeAnnouncement({ sequence: 2, state: "leaving" }));
         assert.equal(await clock.runUntil(accepted, 1_000), true);
         await clock.advance(300);
         assert.equal(entry.registry.get(ID)?.state, "leaving");
@@ -97,9 +97,9 @@
 
     it("does not confirm a leaving upstream without any subscriber", async () => {
         const { clock, nodes: [publisher], stop } = await makePublishers(["control"]);
-        assert.equal(await publisher.publisher.take(makeAnnouncement({ state: "ready" })), true);
+        assert.equal(await publisher.publisher.receive(makeAnnouncement({ state: "ready" })), true);
         assert.equal(
-            await clock.runUntil(publisher.publisher.take(makeAnnouncement({ sequence: 2, state: "gone" })), 1_000),
+            await clock.runUntil(publisher.publisher.receive(makeAnnouncement({ sequence: 2, state: "gone" })), 1_000),
             false,
         );
         stop();
@@ -122,7 +122,7 @@
             let sequence = from;
             for (let passed = 0; passed < ms; passed += HEARTBEAT_MS) {
                 const load = { running: sequence, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
-                await publisher.take(makeAnnouncement({ id, sequence: ++sequence, load }));
+                await publisher.receive(makeAnnouncement({ id, sequence: ++sequence, load }));
                 await clock.advance(HEARTBEAT_MS);
             }
             return sequence;
@@ -154,10 +154,10 @@
             entry.setLevel("membership");
             subscribe(1, 0);
             const sequence = await announceFor(publisher.publisher, clock, 5_000, 0);
-            void publisher.publisher.take(makeAnnouncement({ sequence: sequence + 1, reclaim_in_ms: 4_000 }));
+            void publisher.publisher.receive(makeAnnouncement({ sequence: sequence + 1, reclaim_in_ms: 4_000 }));
             await clock.advance(150);
             assert.equal(entry.registry.get(ID)?.isGrantable, false);
-            void publisher.publisher.take(makeAnnouncement({ sequence: sequence + 2, state: "leaving" }));
+            void publisher.publisher.receive(makeAnnouncement({ sequence: sequence + 2, state: "leaving" }));
             await clock.advance(50);
             assert.equal(entry.registry.get(ID)?.state, "leaving");
             stop();
--- a/src/discovery/announcementSubscriber/index.ts
+++ b/src/discovery/announcementSubscriber/index.ts
@@ -30,7 +30,7 @@
     /** Called with a publisher's wall time at sending, in milliseconds since the epoch. */
     readonly onWallTime: (host: HostId, wallMs: number) => void;
     /** Returns the level of updates that this process needs now; `all` if left out. */
-    readonly levelNeeded?: () => UpdateLevel;
+    readonly requiredLevel?: () => UpdateLevel;
 }
 
 /** The publisher to which an upstream last announced itself. */
@@ -69,7 +69,7 @@
 
     /** Subscribes to the publisher at the remote end of a channel until the channel ends. */
     async subscribe(channel: PeerChannel): Promise<void> {
-        const level = this.options.levelNeeded?.() ?? "all";
+        const level = this.options.requiredLevel?.() ?? "all";
         const reply = await channel.call(SUBSCRIBE_METHOD, { level } satisfies SubscribeRequest, SUBSCRIBE_TIMEOUT_MS);
         if (reply.isLeft()) {
             // Without a subscription the channel would look healthy while upstreams stay unknown. The next channel tries again.
@@ -90,11 +90,11 @@
      * alive for a while, until the signal is aborted.
      */
     async run(signal: AbortSignal): Promise<void> {
-        const { clock, levelNeeded } = this.options;
+        const { clock, requiredLevel } = this.options;
         while (!signal.aborted) {
             await clock.sleepToTick(LEVEL_CHECK_INTERVAL_MS, signal);
             this.keepUnreachableAlive();
-            const level = levelNeeded?.() ?? "all";
+            const level = requiredLevel?.() ?? "all";
             for (const [channel, requestedLevel] of this.levelByChannel) {
                 if (requestedLevel !== level) void this.subscribe(channel);
             }
--- a/src/emulator/_lib/json.ts
+++ b/src/emulator/_lib/json.ts
@@ -59,7 +59,7 @@
         path,
         headers: [["host", formatAddress(address)], JSON_CONTENT_TYPE_HEADER, ["content-length", String(bytes.length)]],
         body: bytes,
-        fresh: false,
+        newConnection: false,
         connectTimeoutMs: timeoutMs,
         headTimeoutMs: timeoutMs,
         signal,
--- a/src/emulator/_lib/memoryWorld.ts
+++ b/src/emulator/_lib/memoryWorld.ts
@@ -5,7 +5,7 @@
     HttpError,
     HttpReply,
     MemoryFabric,
-    MemoryWeb,
+    MemoryHttpFabric,
     SeededRandom,
     VirtualClock,
 } from "../../ports/index.js";
@@ -54,7 +54,7 @@
 export class MemoryWorld {
     readonly clock = new VirtualClock();
     readonly fabric = new MemoryFabric(this.clock, () => 0);
-    readonly web = new MemoryWeb(this.fabric);
+    readonly web = new MemoryHttpFabric(this.fabric);
     readonly keyWatch = new KeyWatch();
     readonly announcements: Announcement[] = [];
     readonly client: Http = this.web.http("entry");
--- a/src/emulator/emulatedPlatform/index.ts
+++ b/src/emulator/emulatedPlatform/index.ts
@@ -90,7 +90,7 @@
     async start(): Promise<Address> {
         const { http } = this.ports;
         this.listener = await http.serve(this.cfg.address, DEFAULT_HTTP_LIMITS, (req, res) => this.handle(req, res));
-        this.lifecycle.own(() => this.listener!.close());
+        this.lifecycle.addCleanUp(() => this.listener!.close());
         return this.listener.address;
     }
 
--- a/src/emulator/emulatedPlatform/test.ts
+++ b/src/emulator/emulatedPlatform/test.ts
@@ -140,7 +140,7 @@
                     method: "GET",
                     path: `${PLATFORM_PATHS.weights}draft`,
                     headers: [],
-                    fresh: false,
+                    newConnection: false,
                     connectTimeoutMs: 1_000,
                     headTimeoutMs: 1_000,
                 });
--- a/src/emulator/emulatedUpstream/index.ts
+++ b/src/emulator/emulatedUpstream/index.ts
@@ -88,7 +88,7 @@
         this.state.leave(noticeMs);
         this.announcer.announce();
         const timer = this.ports.clock.after(noticeMs, () => void this.crash());
-        this.lifecycle.own(() => timer.cancel());
+        this.lifecycle.addCleanUp(() => timer.cancel());
     }
 
     /** Stops gracefully: finishes all open answers, announces that it is gone, and closes. */
--- a/src/emulator/engineStandIn/index.ts
+++ b/src/emulator/engineStandIn/index.ts
@@ -158,7 +158,7 @@
     /** Crashes the engine after one step's time, when it has begun to run the request. */
     private scheduleCrash(): void {
         const timer = this.ports.clock.after(this.cfg.pace.stepMs, () => void this.crash());
-        this.lifecycle.own(() => timer.cancel());
+        this.lifecycle.addCleanUp(() => timer.cancel());
     }
 
     private handleCancel(bytes: Uint8Array, res: HttpResponse): void {
--- a/src/entry/cacheDiscovery/index.ts
+++ b/src/entry/cacheDiscovery/index.ts
@@ -102,7 +102,7 @@
         const sent = await http.send({
             address,
             ...dialect.writeCacheQuery(id),
-            fresh: false,
+            newConnection: false,
             connectTimeoutMs: CONNECT_TIMEOUT_MS,
             headTimeoutMs: ANSWER_TIMEOUT_MS,
             signal,
--- a/src/entry/crashMonitor/index.ts
+++ b/src/entry/crashMonitor/index.ts
@@ -1,6 +1,6 @@
 import { ControlClient, ViewCache } from "../../control/index.js";
 import { LogIndex, RequestFingerprint, UpstreamId } from "../../ids/index.js";
-import { Gate } from "../../lifecycle/index.js";
+import { WaitCondition } from "../../lifecycle/index.js";
 import { Logger } from "../../logging/index.js";
 import { Metrics } from "../../metrics/index.js";
 import { Address, Clock, Network } from "../../ports/index.js";
@@ -67,7 +67,7 @@
     /** Revision at which the last report was applied. */
     private reportedRevision = 0;
     /** Opened when there is a crash to report. */
-    private readonly reportPending = new Gate();
+    private readonly reportPending = new WaitCondition();
     /** Quarantined requests at the last view change, to log only differences. */
     private loggedQuarantine: ReadonlySet<RequestFingerprint> = new Set();
 
@@ -148,7 +148,7 @@
         }
         const context = { index: ++this.localIndex as LogIndex, proposedAt: this.options.time.now() };
         this.localQuarantine.apply({ kind: "crash.note", crashes: [crash] }, context);
-        this.reportPending.open();
+        this.reportPending.notifyAll();
     }
 
     /** @returns Whether the control log has accepted all crashes queued at the time of the call. */
--- a/src/entry/entryProcess/index.ts
+++ b/src/entry/entryProcess/index.ts
@@ -256,10 +256,10 @@
         new TicketServer(this.local, options.clock, request => this.dispatcher.preemptLocal(request)).addTo(peerRouter);
         this.dispatcher.onPreempt(request => this.requests.cancel(request, "preempted"));
         this.control.onViewChange(() => this.requests.cancelWithdrawn(hash => !!this.control.findWorkspace(hash)));
-        lifecycle.own(() => this.local.close());
+        lifecycle.addCleanUp(() => this.local.close());
         if (!options.sharedRouter) {
             const peers = await servePeers({ ...options, address: options.peers, router: this.router });
-            lifecycle.own(() => peers.close());
+            lifecycle.addCleanUp(() => peers.close());
         }
         lifecycle.run(running => this.client.run(running), onError);
         lifecycle.run(running => this.dispatcher.run(running), onError);
@@ -287,7 +287,7 @@
     private async openUpstreams(address: Address): Promise<void> {
         const handler = serveAnnouncements(announcement => this.announcementForwarder.accept(announcement));
         const upstreams = await this.options.http.serve(address, DEFAULT_HTTP_LIMITS, handler);
-        this.lifecycle.own(() => upstreams.close());
+        this.lifecycle.addCleanUp(() => upstreams.close());
     }
 
     private async awaitView(signal?: AbortSignal): Promise<void> {
@@ -304,7 +304,7 @@
             serveCallers(this.makeContext(), options.self),
         );
         this.callerListener = listener;
-        this.lifecycle.own(() => listener.close());
+        this.lifecycle.addCleanUp(() => listener.close());
         options.logger.info("entry-ready", { callers: formatAddress(listener.address) });
     }
 
--- a/src/entry/fleetRouteView/index.ts
+++ b/src/entry/fleetRouteView/index.ts
@@ -1,5 +1,5 @@
 import { ControlClient, ViewCache } from "../../control/index.js";
-import { Gate } from "../../lifecycle/index.js";
+import { WaitCondition } from "../../lifecycle/index.js";
 import { RouteView } from "../../passthrough/index.js";
 import { Clock } from "../../ports/index.js";
 import { RouteTable } from "../../routing/index.js";
@@ -7,7 +7,7 @@
 /** View of the fleet document that the control client keeps up to date. */
 export class FleetRouteView extends RouteView {
     /** Opened at each change of the cache. */
-    private readonly changeGate = new Gate();
+    private readonly changeGate = new WaitCondition();
 
     constructor(
         private readonly clock: Clock,
@@ -36,7 +36,7 @@
 
     /** Called when the cache has applied a change. */
     notifyChange(): void {
-        this.changeGate.open();
+        this.changeGate.notifyAll();
     }
 
     entryCount(): number {
--- a/src/entry/routeService/index.ts
+++ b/src/entry/routeService/index.ts
@@ -79,7 +79,7 @@
         this.startMeter = new StartMeter(settings.startsWindowMs);
         this.subscriber = new AnnouncementSubscriber({
             ...options,
-            onWallTime: (host, wallMs) => time.learn(host, wallMs),
+            onWallTime: (host, wallMs) => time.addReading(host, wallMs),
         });
     }
 
@@ -136,7 +136,7 @@
         });
         const listener = await http.serve(callers, toHttpLimits(DEFAULT_CALLER_LIMITS), handler);
         this.listener = listener;
-        lifecycle.own(() => listener.close());
+        lifecycle.addCleanUp(() => listener.close());
     }
 
     /** Called when the view has changed; applies the caller limits of a new document. */
--- a/src/entry/sendChat/index.ts
+++ b/src/entry/sendChat/index.ts
@@ -51,7 +51,7 @@
         path: ENGINE_PATHS.chat,
         headers: [["content-type", "application/json"], ["accept", "text/event-stream"]],
         body: encodeRequest(prepared, run, grant, offset),
-        fresh: false,
+        newConnection: false,
         connectTimeoutMs: limits.connectMs,
         headTimeoutMs: limits.firstTokenStallMs,
         signal: run.signal,
@@ -59,7 +59,7 @@
     if (sent.isLeft()) {
         const err = sent.extract();
         const connectionEnded = err.reason === "closed";
-        return failedAttempt(new EngineStreamError("unreachable", err.message, connectionEnded), err.mayHaveLeft);
+        return failedAttempt(new EngineStreamError("unreachable", err.message, connectionEnded), err.mayHaveBeenSent);
     }
     const reply = sent.unsafeCoerce();
     reportRequestLimit(ctx, prepared.pool, grant, reply);
--- a/src/entry/sendService/index.ts
+++ b/src/entry/sendService/index.ts
@@ -48,14 +48,14 @@
             ["content-length", String(prepared.body.length)],
         ],
         body: prepared.body,
-        fresh: prepared.call !== undefined,
+        newConnection: prepared.call !== undefined,
         connectTimeoutMs: limits.connectMs,
         headTimeoutMs: limits.serviceMs,
         signal: run.signal,
     });
     if (sent.isLeft()) {
         const err = sent.extract();
-        return Left(new ServiceCallError(err.mayHaveLeft, err.message, err.reason === "closed"));
+        return Left(new ServiceCallError(err.mayHaveBeenSent, err.message, err.reason === "closed"));
     }
     reportRequestLimit(ctx, prepared.pool, grant, sent.unsafeCoerce());
     return readAnswer(sent.unsafeCoerce(), run, limits.bodyBytes, limits.serviceMs, ctx);
--- a/src/entry/startCountReporter/index.ts
+++ b/src/entry/startCountReporter/index.ts
@@ -84,7 +84,7 @@
 
     private scheduleHolderReport(): void {
         const { clock } = this.options;
-        this.pendingReport ??= clock.after(clock.untilTick(HOLDER_REPORT_DELAY_MS), () => this.sendNewCounts());
+        this.pendingReport ??= clock.after(clock.msUntilTick(HOLDER_REPORT_DELAY_MS), () => this.sendNewCounts());
     }
 
     private sendNewCounts(): void {
--- a/src/faultInjection/replicaFleet/index.ts
+++ b/src/faultInjection/replicaFleet/index.ts
@@ -3,7 +3,7 @@
 import { SilentLogger } from "../../logging/index.js";
 import {
     Address,
-    LatencyBetween,
+    LatencyModel,
     MemoryDisk,
     MemoryFabric,
     MemoryHost,
@@ -64,7 +64,7 @@
     /** Highest index that each process has applied so far. */
     private readonly lastApplied = new Map<FleetProcess, number>();
     /** One-way latency, in milliseconds; a test may replace it. */
-    latency: LatencyBetween = () => Math.round(this.random.between(1, 4));
+    latency: LatencyModel = () => Math.round(this.random.between(1, 4));
     /** Highest log index of an accepted command. */
     private acceptedIndex = 0 as LogIndex;
     /** The first violation found; thrown by the next `checkInvariants`. */
@@ -178,8 +178,8 @@
 
     mendDisks(): void {
         for (const { disk } of this.hosts.values()) {
-            disk.syncMs = 0;
-            disk.capacity = Number.POSITIVE_INFINITY;
+            disk.syncDurationMs = 0;
+            disk.capacityBytes = Number.POSITIVE_INFINITY;
         }
     }
 
--- a/src/faultInjection/routedFleet/index.ts
+++ b/src/faultInjection/routedFleet/index.ts
@@ -12,7 +12,7 @@
     findHeader,
     MemoryDisk,
     MemoryFabric,
-    MemoryWeb,
+    MemoryHttpFabric,
     SeededRandom,
     VirtualClock,
 } from "../../ports/index.js";
@@ -57,7 +57,7 @@
 export class RoutedFleet {
     readonly clock = new VirtualClock();
     readonly fabric = new MemoryFabric(this.clock, (from, to) => from === to ? 0 : 1);
-    readonly web = new MemoryWeb(this.fabric);
+    readonly web = new MemoryHttpFabric(this.fabric);
     readonly controls: (ControlProcess | undefined)[] = [];
     readonly entries: (EntryProcess | undefined)[] = [];
     /** The queue owners that run on control hosts, by control number. */
@@ -271,7 +271,7 @@
     /** Sends an upstream's state announcement to one control process. Returns whether it was accepted. */
     announce(upstream: number, state: "ready" | "leaving" | "gone", through = 0): Promise<boolean> {
         const { publisher } = this.controls[through]!.routing!;
-        return this.run(publisher.take(this.upstreams[upstream].announce(state)));
+        return this.run(publisher.receive(this.upstreams[upstream].announce(state)));
     }
 
     private async announcePeriodically(): Promise<void> {
@@ -279,7 +279,7 @@
             for (const [number, upstream] of this.upstreams.entries()) {
                 if (!upstream.isUp) continue;
                 const live = this.controls.filter(control => control !== undefined);
-                void live[number % live.length]?.routing!.publisher.take(upstream.announce());
+                void live[number % live.length]?.routing!.publisher.receive(upstream.announce());
             }
             await this.clock.sleep(ANNOUNCEMENT_INTERVAL_MS, this.announcementsAbort.signal);
         }
--- a/src/faultInjection/schedule/index.ts
+++ b/src/faultInjection/schedule/index.ts
@@ -139,7 +139,7 @@
 }
 
 async function blackholeConnections(run: ScheduleRun): Promise<void> {
-    run.fleet.fabric.forget(...pickPair(run));
+    run.fleet.fabric.blackholeConnections(...pickPair(run));
 }
 
 async function freezeHost(run: ScheduleRun): Promise<void> {
@@ -152,12 +152,12 @@
 
 async function slowDisk(run: ScheduleRun): Promise<void> {
     const host = pickRunningHost(run);
-    if (host) host.disk.syncMs = run.random.between(1, MAX_SLOW_SYNC_MS);
+    if (host) host.disk.syncDurationMs = run.random.between(1, MAX_SLOW_SYNC_MS);
 }
 
 async function limitDiskCapacity(run: ScheduleRun): Promise<void> {
     const host = pickRunningHost(run);
-    if (host) host.disk.capacity = await countUsedBytes(host) + run.random.integer(0, 2_000);
+    if (host) host.disk.capacityBytes = await countUsedBytes(host) + run.random.integer(0, 2_000);
 }
 
 async function repairDisks({ fleet }: ScheduleRun): Promise<void> {
@@ -192,7 +192,7 @@
     const path = `log/${random.pick(await disk.list("log"))}`;
     const size = (await disk.read(path))!.length;
     if (size === 0) return;
-    disk.damage(path, random.integer(0, size));
+    disk.flipBit(path, random.integer(0, size));
     const outcome = await fleet.start(name).then(() => undefined, (err: unknown) => err);
     if (outcome instanceof StoreError && outcome.reason === "damaged") return;
     throw new InvariantError(`a data folder with a flipped bit was opened: ${String(outcome)}`);
--- a/src/faultInjection/testCaller/index.ts
+++ b/src/faultInjection/testCaller/index.ts
@@ -1,5 +1,5 @@
 import { CALL_HEADERS } from "../../passthrough/index.js";
-import { Address, Clock, HeaderList, MemoryWeb } from "../../ports/index.js";
+import { Address, Clock, HeaderList, MemoryHttpFabric } from "../../ports/index.js";
 
 const CALLER_HOST = "10.0.8.1";
 /** Time limit of a call: for the head of its response, and where a test waits for it, for its end. */
@@ -40,7 +40,7 @@
 export class TestCaller {
     private generatedIds = 0;
 
-    constructor(private readonly clock: Clock, private readonly web: MemoryWeb) {}
+    constructor(private readonly clock: Clock, private readonly web: MemoryHttpFabric) {}
 
     /**
      * Sends a call and reads its response to the end.
@@ -64,7 +64,7 @@
                 ...headers,
             ],
             body: Buffer.from(body),
-            fresh: true,
+            newConnection: true,
             connectTimeoutMs: 1_000,
             headTimeoutMs: CALL_TIMEOUT_MS,
             signal: rest.signal,
--- a/src/features/steps/holders.ts
+++ b/src/features/steps/holders.ts
@@ -36,7 +36,7 @@
 When("the holder is isolated as soon as it has connected to the platform", function(this: HolderWorld) {
     const { fleet } = this;
     this.isolatedControl = fleet.holder();
-    fleet.fabric.onceConnected(
+    fleet.fabric.onNextConnection(
         controlHost(this.isolatedControl),
         EMULATOR_HOST,
         () => fleet.isolateControl(this.isolatedControl, true),
@@ -53,7 +53,7 @@
         const { fleet } = this;
         const holder = controlHost(fleet.holder());
         const others = fleet.controlNumbers().map(controlHost);
-        fleet.fabric.onceConnected(holder, EMULATOR_HOST, () => {
+        fleet.fabric.onNextConnection(holder, EMULATOR_HOST, () => {
             fleet.linkLatenciesMs.set(`${holder}>${EMULATOR_HOST}`, ms);
             fleet.fabric.isolate(holder, others, true);
         });
--- a/src/features/steps/keys.ts
+++ b/src/features/steps/keys.ts
@@ -56,7 +56,7 @@
                 address: this.fleet.entryAddress(0),
                 method: "POST",
                 headers: [["authorization", `Bearer ${key}`], [IDEMPOTENCY_HEADER, "misplaced"]],
-                fresh: true,
+                newConnection: true,
                 connectTimeoutMs: 1_000,
                 headTimeoutMs: 60_000,
                 ...makeMisplacedKeyRequest(key, place),
--- a/src/features/world/caller.ts
+++ b/src/features/world/caller.ts
@@ -57,7 +57,7 @@
         path: CALLER_PATHS.chat,
         headers,
         body: Buffer.from(JSON.stringify(body)),
-        fresh: true,
+        newConnection: true,
         connectTimeoutMs: 1_000,
         headTimeoutMs: RESPONSE_TIMEOUT_MS,
         signal: call.signal,
@@ -78,7 +78,7 @@
         path: `${CALLER_PATHS.services}${call.service}${call.path}`,
         headers,
         body: Buffer.from(call.body),
-        fresh: true,
+        newConnection: true,
         connectTimeoutMs: 1_000,
         headTimeoutMs: RESPONSE_TIMEOUT_MS,
     });
--- a/src/features/world/memoryFleet.ts
+++ b/src/features/world/memoryFleet.ts
@@ -11,7 +11,7 @@
     DEFAULT_HTTP_LIMITS,
     MemoryDisk,
     MemoryFabric,
-    MemoryWeb,
+    MemoryHttpFabric,
     SeededRandom,
     VirtualClock,
 } from "../../ports/index.js";
@@ -79,7 +79,7 @@
         this.clock,
         (from, to) => from === to ? 0 : this.linkLatenciesMs.get(`${from}>${to}`) ?? 1,
     );
-    readonly web = new MemoryWeb(this.fabric);
+    readonly web = new MemoryHttpFabric(this.fabric);
     readonly keyWatch = new KeyWatch();
     readonly controls: (ControlProcess | undefined)[] = [];
     readonly entries: (EntryProcess | undefined)[] = [];
@@ -216,7 +216,7 @@
     blackholeConnections(some: readonly string[], others: readonly string[]): void {
         for (const a of some) {
             for (const b of others) {
-                if (a !== b) this.fabric.forget(a, b);
+                if (a !== b) this.fabric.blackholeConnections(a, b);
             }
         }
     }
--- a/src/lifecycle/lifecycle/index.ts
+++ b/src/lifecycle/lifecycle/index.ts
@@ -31,14 +31,14 @@
     }
 
     /** Registers a clean-up function to run on `close`. */
-    own(cleanUp: CleanUp): void {
+    addCleanUp(cleanUp: CleanUp): void {
         this.cleanUps.push(cleanUp);
     }
 
     /** Returns a lifecycle that can be closed on its own, and is closed with this one at the latest. */
     child(): Lifecycle {
         const child = new Lifecycle();
-        this.own(() => child.close());
+        this.addCleanUp(() => child.close());
         return child;
     }
 
@@ -50,7 +50,7 @@
      */
     run(task: (signal: AbortSignal) => Promise<void>, onError: (err: unknown) => void): void {
         const done = task(this.signal).catch(onError);
-        this.own(() => done);
+        this.addCleanUp(() => done);
     }
 
     /**
--- a/src/lifecycle/lifecycle/test.ts
+++ b/src/lifecycle/lifecycle/test.ts
@@ -7,11 +7,11 @@
         it("runs clean-ups in reverse order, and all of them if one fails", async () => {
             const closed: string[] = [];
             const lifecycle = new Lifecycle();
-            lifecycle.own(() => void closed.push("first"));
-            lifecycle.own(() => {
+            lifecycle.addCleanUp(() => void closed.push("first"));
+            lifecycle.addCleanUp(() => {
                 throw new Error("second");
             });
-            lifecycle.own(() => void closed.push("third"));
+            lifecycle.addCleanUp(() => void closed.push("third"));
             await assert.rejects(lifecycle.close(), AggregateError);
             assert.deepEqual(closed, ["third", "first"]);
         });
--- a/src/lifecycle/gate/index.ts
+++ b/src/lifecycle/waitCondition/index.ts
@@ -6,11 +6,11 @@
  * @example
  * await gate.wait(clock, 1_000, signal);
  */
-export class Gate {
+export class WaitCondition {
     private waiters = new Set<() => void>();
 
     /** Wakes all tasks that are waiting now. */
-    open(): void {
+    notifyAll(): void {
         const waiters = this.waiters;
         this.waiters = new Set();
         for (const wake of waiters) wake();
--- a/src/load/_lib/sendCall.ts
+++ b/src/load/_lib/sendCall.ts
@@ -48,7 +48,7 @@
             ...headers,
         ],
         body: bytes,
-        fresh: false,
+        newConnection: false,
         connectTimeoutMs: CONNECT_TIMEOUT_MS,
         headTimeoutMs: HEAD_TIMEOUT_MS,
         signal: ctx.signal,
--- a/src/load/callService/index.ts
+++ b/src/load/callService/index.ts
@@ -21,7 +21,7 @@
     const sent = await sendCall(ctx, call, path, call.body, [[IDEMPOTENCY_HEADER, call.idempotency_key]]);
     if (sent.isLeft()) {
         const err = sent.extract();
-        return { verdict: "lost", reason: err.reason, isUnreachable: !err.mayHaveLeft, tokenTimes: [] };
+        return { verdict: "lost", reason: err.reason, isUnreachable: !err.mayHaveBeenSent, tokenTimes: [] };
     }
     const reply = sent.unsafeCoerce();
     const request = findHeader(reply.headers, REQUEST_HEADER);
--- a/src/load/caller/test.ts
+++ b/src/load/caller/test.ts
@@ -6,7 +6,7 @@
     HttpRequest,
     HttpResponse,
     MemoryFabric,
-    MemoryWeb,
+    MemoryHttpFabric,
     SeededRandom,
     VirtualClock,
 } from "../../ports/index.js";
@@ -46,7 +46,7 @@
 /** Starts a system with two addresses that sends these answers in order and repeats the last one. */
 async function startSystem(answers: readonly AnswerHandler[], change: Partial<CallerConfig> = {}) {
     const clock = new VirtualClock();
-    const web = new MemoryWeb(new MemoryFabric(clock, () => 1));
+    const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 1));
     const seen: string[] = [];
     const addresses = ["a", "b"].map(host => ({ host, port: 1 }));
     for (const address of addresses) {
--- a/src/load/chatCall/index.ts
+++ b/src/load/chatCall/index.ts
@@ -30,7 +30,7 @@
     const sent = await sendCall(ctx, chat, CALLER_PATHS.chat, { model, messages, max_tokens, stream });
     if (sent.isLeft()) {
         const err = sent.extract();
-        return { verdict: "lost", reason: err.reason, isUnreachable: !err.mayHaveLeft, tokenTimes: [] };
+        return { verdict: "lost", reason: err.reason, isUnreachable: !err.mayHaveBeenSent, tokenTimes: [] };
     }
     const reply = sent.unsafeCoerce();
     const request = findHeader(reply.headers, REQUEST_HEADER);
--- a/src/load/emulatorClient/index.ts
+++ b/src/load/emulatorClient/index.ts
@@ -52,7 +52,7 @@
             path,
             headers: [["host", formatAddress(this.address)], ["content-length", String(body?.length ?? 0)]],
             body,
-            fresh: true,
+            newConnection: true,
             connectTimeoutMs: TIMEOUT_MS,
             headTimeoutMs: TIMEOUT_MS,
         });
--- a/src/load/emulatorClient/test.ts
+++ b/src/load/emulatorClient/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ControlApi, DEFAULT_EMULATOR_SETTINGS, KeyWatch, StandInSet } from "../../emulator/index.js";
-import { MemoryFabric, MemoryWeb, SeededRandom, VirtualClock } from "../../ports/index.js";
+import { MemoryFabric, MemoryHttpFabric, SeededRandom, VirtualClock } from "../../ports/index.js";
 import { EmulatorClient, EmulatorError } from "./index.js";
 
 const CONTROL = { host: "emulator", port: 7300 };
@@ -10,7 +10,7 @@
 describe("EmulatorClient", () => {
     it("applies actions to the emulated upstreams, and fetches what ran", async () => {
         const clock = new VirtualClock();
-        const web = new MemoryWeb(new MemoryFabric(clock, () => 0));
+        const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
         const keyWatch = new KeyWatch();
         const ports = { clock, random: new SeededRandom(1), http: web.http(CONTROL.host), keyWatch };
         const set = new StandInSet(ports, { ...DEFAULT_EMULATOR_SETTINGS, host: CONTROL.host, engines: 2 });
--- a/src/load/measureEngines/index.ts
+++ b/src/load/measureEngines/index.ts
@@ -96,7 +96,7 @@
         path: ENGINE_PATHS.chat,
         headers: [["host", formatAddress(address)], ["content-length", String(body.length)]],
         body,
-        fresh: false,
+        newConnection: false,
         connectTimeoutMs: TIMEOUT_MS,
         headTimeoutMs: TIMEOUT_MS,
     });
--- a/src/load/replayTrace/test.ts
+++ b/src/load/replayTrace/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { ControlAction } from "../../emulator/index.js";
-import { MemoryFabric, MemoryWeb, SeededRandom, VirtualClock } from "../../ports/index.js";
+import { MemoryFabric, MemoryHttpFabric, SeededRandom, VirtualClock } from "../../ports/index.js";
 import { DEFAULT_CALLER } from "../caller/index.js";
 import { generateTrace } from "../generateTrace/index.js";
 import { UTILITY_MORNING, UTILITY_RECLAIM } from "../utilityPlan/index.js";
@@ -14,7 +14,7 @@
 
 async function startRefusingEntry() {
     const clock = new VirtualClock();
-    const web = new MemoryWeb(new MemoryFabric(clock, () => 0));
+    const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
     const times: number[] = [];
     const keys = new Set<string>();
     await web.http("entry").serve(ADDRESS, undefined as never, async (req, res) => {
--- a/src/metrics/statsdMetrics/index.ts
+++ b/src/metrics/statsdMetrics/index.ts
@@ -12,7 +12,7 @@
     /** Tags added to each metric, such as host and role. */
     readonly tags: MetricTags;
     /** Maximum number of histogram series kept in the process. */
-    readonly series: number;
+    readonly maxSeries: number;
     /** Called when packets can't be sent. */
     readonly onError: (err: Error) => void;
 }
@@ -34,7 +34,7 @@
 
     constructor(options: StatsdMetricsOptions) {
         super();
-        this.table = new HistogramTable(options.series);
+        this.table = new HistogramTable(options.maxSeries);
         if (!options.address) return;
         this.client = new StatsD({
             host: options.address.host,
--- a/src/metrics/statsdMetrics/test.ts
+++ b/src/metrics/statsdMetrics/test.ts
@@ -26,7 +26,7 @@
                 address: { host: "127.0.0.1", port },
                 prefix: "sequoiamux.",
                 tags: { host: "vogar-1" },
-                series: 10,
+                maxSeries: 10,
                 onError: err => assert.fail(err),
             });
             metrics.count("answered", 2, { class: "sheets" });
@@ -45,7 +45,7 @@
             address: undefined,
             prefix: "",
             tags: {},
-            series: 10,
+            maxSeries: 10,
             onError: assert.fail,
         });
         metrics.histogram("wait_ms", 3);
--- a/src/passthrough/sendCall/index.ts
+++ b/src/passthrough/sendCall/index.ts
@@ -41,10 +41,10 @@
             lastEventId: attempt.stream.lastEventId ?? call.head.lastEventId,
         }),
         body: call.body.length > 0 || !METHODS_WITHOUT_BODY.includes(call.method) ? call.body : undefined,
-        fresh: false,
+        newConnection: false,
         // Repeatable calls may use connections that have been idle for a while: this halves the number of connections
         // opened.
-        recentOnly: call.route.kind !== "idempotent" && !call.route.resumable,
+        recentlyUsedOnly: call.route.kind !== "idempotent" && !call.route.resumable,
         connectTimeoutMs: Math.min(CONNECT_TIMEOUT_MS, remainingMs),
         headTimeoutMs: remainingMs,
         signal: run.signal,
@@ -74,7 +74,7 @@
 ): Promise<AttemptResult> {
     if (sent.isLeft()) {
         const err = sent.extract() as HttpError;
-        return endWithHttpError(err.mayHaveLeft ? "lost" : "not-sent", err);
+        return endWithHttpError(err.mayHaveBeenSent ? "lost" : "not-sent", err);
     }
     const reply = sent.unsafeCoerce();
     const head = ctx.dialect.readReply(reply);
--- a/src/platform/controlPlane/index.ts
+++ b/src/platform/controlPlane/index.ts
@@ -75,7 +75,7 @@
     res: HttpResponse,
 ): Promise<void> {
     const { id: upstream, state, incarnation, sequence } = announcement;
-    const isAccepted = await routing.publisher.take(announcement);
+    const isAccepted = await routing.publisher.receive(announcement);
     if (state !== "ready" || !isAccepted) {
         logger.info("upstream-state", { upstream, state, incarnation, sequence, isTaken: isAccepted });
     }
--- a/src/platform/controlPlane/test.ts
+++ b/src/platform/controlPlane/test.ts
@@ -28,7 +28,7 @@
             path,
             headers: [],
             body: Buffer.alloc(0),
-            fresh: true,
+            newConnection: true,
             connectTimeoutMs: 1_000,
             headTimeoutMs: 1_000,
         });
--- a/src/platform/runControlNode/index.ts
+++ b/src/platform/runControlNode/index.ts
@@ -58,10 +58,10 @@
             platform: makeRoutingPlatform(ports, settings),
         },
     });
-    lifecycle.own(() => running.close());
+    lifecycle.addCleanUp(() => running.close());
     const routing = running.routing!;
     const listener = await ports.http.serve(address, DEFAULT_HTTP_LIMITS, serveControlPlane(routing, ports.logger));
-    lifecycle.own(() => listener.close());
+    lifecycle.addCleanUp(() => listener.close());
     const queues = await startQueueHost({
         ...ports,
         zone: settings.zone,
@@ -74,7 +74,7 @@
         registryTiming: { ...DEFAULT_REGISTRY_TIMING, silentAfterMs: upstreamTimeoutMs(settings.heartbeatMs) },
         windowMs: usageWindowMs,
     });
-    lifecycle.own(() => queues.close());
+    lifecycle.addCleanUp(() => queues.close());
     return {
         lifecycle,
         drain: () => queues.drain(0),
--- a/src/platform/runEntryNode/index.ts
+++ b/src/platform/runEntryNode/index.ts
@@ -56,10 +56,10 @@
             startsWindowMs: settings.usageWindowMs,
         },
     });
-    lifecycle.own(() => entry.close());
+    lifecycle.addCleanUp(() => entry.close());
     const isReady = (): boolean => entry.routeService?.isReady ?? false;
     const health = await ports.http.serve(readiness, DEFAULT_HTTP_LIMITS, serveReadiness(isReady));
-    lifecycle.own(() => health.close());
+    lifecycle.addCleanUp(() => health.close());
     return {
         lifecycle,
         drain: () => entry.drain(graceMs - BALANCER_DETECTION_MS - EXIT_RESERVE_MS),
--- a/src/ports/clock/index.ts
+++ b/src/ports/clock/index.ts
@@ -22,7 +22,7 @@
      * meanwhile. The holder of a right that expires (a lease, an entry's view) measures it by this clock; the process that
      * granted the right uses `monotonic`, by which it expires later. So both err on the safe side.
      */
-    elapsed(): number {
+    monotonicWithSuspend(): number {
         return this.monotonic();
     }
 
@@ -61,7 +61,7 @@
      *
      * @param periodMs - The period, in milliseconds.
      */
-    untilTick(periodMs: number): number {
+    msUntilTick(periodMs: number): number {
         const remainingMs = periodMs - this.monotonic() % periodMs;
         // Timers may fire slightly early; the same tick must not be returned twice.
         return Math.ceil(remainingMs < MAX_EARLY_SHARE * periodMs ? remainingMs + periodMs : remainingMs);
@@ -74,7 +74,7 @@
      * @param signal - Ends the wait early when aborted, without an error.
      */
     sleepToTick(periodMs: number, signal?: AbortSignal): Promise<void> {
-        return this.sleep(this.untilTick(periodMs), signal);
+        return this.sleep(this.msUntilTick(periodMs), signal);
     }
 }
 
--- a/src/ports/clock/test.ts
+++ b/src/ports/clock/test.ts
@@ -23,7 +23,7 @@
         it("does not return the same tick twice when a timer fired slightly early", async () => {
             const clock = new VirtualClock();
             await clock.advance(199);
-            assert.equal(clock.untilTick(200), 201);
+            assert.equal(clock.msUntilTick(200), 201);
         });
     });
 });
--- a/src/ports/http/index.ts
+++ b/src/ports/http/index.ts
@@ -12,9 +12,9 @@
     readonly headers: HeaderList;
     readonly body?: Uint8Array;
     /** Whether to use a new connection that is closed after the response, instead of a pooled one. */
-    readonly fresh: boolean;
+    readonly newConnection: boolean;
     /** Whether to reuse only recently used pooled connections, which the server is unlikely to have closed yet. */
-    readonly recentOnly?: boolean;
+    readonly recentlyUsedOnly?: boolean;
     /** Timeout for opening the connection, in milliseconds. */
     readonly connectTimeoutMs: number;
     /** Timeout for the response's headers, from when the connection is open, in milliseconds. */
@@ -37,12 +37,12 @@
 export class HttpError extends Error {
     /**
      * @param reason - The class of failure.
-     * @param mayHaveLeft - Whether any byte of the request may have been sent; false only if certainly none was.
+     * @param mayHaveBeenSent - Whether any byte of the request may have been sent; false only if certainly none was.
      * @param detail - Further text for logs.
      */
     constructor(
         readonly reason: "refused" | "timeout" | "closed" | "aborted" | "malformed",
-        readonly mayHaveLeft: boolean,
+        readonly mayHaveBeenSent: boolean,
         detail: string,
     ) {
         super(`${reason}: ${detail}`);
--- a/src/ports/index.ts
+++ b/src/ports/index.ts
@@ -9,7 +9,7 @@
 export * from "./memoryDisk/index.js";
 export * from "./memoryFabric/index.js";
 export * from "./memoryHost/index.js";
-export * from "./memoryHttp/index.js";
+export * from "./memoryHttpFabric/index.js";
 export * from "./network/index.js";
 export * from "./nodeHttp/index.js";
 export * from "./random/index.js";
--- a/src/ports/memoryDisk/index.ts
+++ b/src/ports/memoryDisk/index.ts
@@ -16,9 +16,9 @@
  */
 export class MemoryDisk extends Disk {
     /** Duration of each sync, in milliseconds. */
-    syncMs = 0;
+    syncDurationMs = 0;
     /** Total size in bytes; a write beyond it fails with reason `full`. */
-    capacity = Number.POSITIVE_INFINITY;
+    capacityBytes = Number.POSITIVE_INFINITY;
     private files = new Map<string, StoredFile>();
     private isLocked = false;
 
@@ -92,7 +92,7 @@
     }
 
     /** Flips one bit of a file's synced content, at a byte offset. */
-    damage(path: string, offset: number): void {
+    flipBit(path: string, offset: number): void {
         const file = this.files.get(path);
         if (!file || offset >= file.synced.length) throw new Error(`${path} has no synced byte ${offset}`);
         file.synced[offset] ^= 1;
@@ -105,11 +105,11 @@
     ensureCapacity(size: number): void {
         let used = size;
         for (const file of this.files.values()) used += file.synced.length + file.unsynced.length;
-        if (used > this.capacity) throw new DiskError("full", "no space left");
+        if (used > this.capacityBytes) throw new DiskError("full", "no space left");
     }
 
     async waitForSync(): Promise<void> {
-        if (this.syncMs > 0) await this.clock.sleep(this.syncMs);
+        if (this.syncDurationMs > 0) await this.clock.sleep(this.syncDurationMs);
     }
 }
 
--- a/src/ports/memoryFabric/index.ts
+++ b/src/ports/memoryFabric/index.ts
@@ -4,7 +4,7 @@
 import { Address, Connection, formatAddress, Listener, Network, NetworkError } from "../network/index.js";
 
 /** Returns the one-way latency from one host to another, in milliseconds. */
-export type LatencyBetween = (from: string, to: string) => number;
+export type LatencyModel = (from: string, to: string) => number;
 
 type AcceptHandler = (connection: Connection) => void;
 
@@ -27,7 +27,7 @@
      * @param clock - Times the latencies.
      * @param latency - Returns the one-way latency between two hosts, in milliseconds.
      */
-    constructor(readonly clock: Clock, readonly latency: LatencyBetween) {}
+    constructor(readonly clock: Clock, readonly latency: LatencyModel) {}
 
     /** Returns the network port of one host; `host` is the host part of its addresses. */
     network(host: string): Network {
@@ -61,7 +61,7 @@
     }
 
     /** Drops all further data on the connections now open between two hosts; new connections work. */
-    forget(a: string, b: string): void {
+    blackholeConnections(a: string, b: string): void {
         for (const pipe of this.pipes) {
             if ((pipe.from === a && pipe.to === b) || (pipe.from === b && pipe.to === a)) pipe.blackhole();
         }
@@ -78,7 +78,7 @@
     }
 
     /** Runs an action once, when one host next connects to another, before any data is sent. */
-    onceConnected(from: string, to: string, action: () => void): void {
+    onNextConnection(from: string, to: string, action: () => void): void {
         this.connectActions.set(linkKey(from, to), action);
     }
 
--- a/src/ports/memoryHost/index.ts
+++ b/src/ports/memoryHost/index.ts
@@ -100,7 +100,7 @@
     }
 
     /** Steps the wall clock forward, in milliseconds. Processes can't tell this from a suspension of the machine. */
-    setForward(ms: number): void {
+    stepWallClock(ms: number): void {
         this.wallOffsetMs += ms;
     }
 
@@ -108,7 +108,7 @@
         return this.clock.now() + this.wallOffsetMs;
     }
 
-    override elapsed(): number {
+    override monotonicWithSuspend(): number {
         return this.monotonic() + this.wallOffsetMs;
     }
 
--- a/src/ports/memoryHttp/index.ts
+++ b/src/ports/memoryHttpFabric/index.ts
@@ -18,7 +18,7 @@
 import { Address, formatAddress, NetworkError } from "../network/index.js";
 
 /** HTTP servers and running exchanges of an in-memory network that all simulated hosts share. */
-export class MemoryWeb {
+export class MemoryHttpFabric {
     /** Handlers by `host:port`. */
     readonly servers = new Map<string, HttpHandler>();
 
@@ -46,7 +46,7 @@
 class MemoryHttp extends Http {
     private nextPort = 50_000;
 
-    constructor(private readonly httpFabric: MemoryWeb, private readonly host: string) {
+    constructor(private readonly httpFabric: MemoryHttpFabric, private readonly host: string) {
         super();
     }
 
@@ -105,7 +105,7 @@
     private isFinished = false;
     private failureReason: HttpError["reason"] = "closed";
 
-    constructor(private readonly httpFabric: MemoryWeb, client: string, private readonly call: HttpCall) {
+    constructor(private readonly httpFabric: MemoryHttpFabric, client: string, private readonly call: HttpCall) {
         this.client = client;
         this.server = call.address.host;
         httpFabric.exchanges.add(this);
--- a/src/ports/nodeHttp/index.ts
+++ b/src/ports/nodeHttp/index.ts
@@ -69,9 +69,9 @@
         });
     }
 
-    private chooseAgent({ fresh, recentOnly }: HttpCall): Agent {
-        if (fresh) return new Agent({ keepAlive: false });
-        return recentOnly ? this.recentPool : this.pool;
+    private chooseAgent({ newConnection, recentlyUsedOnly }: HttpCall): Agent {
+        if (newConnection) return new Agent({ keepAlive: false });
+        return recentlyUsedOnly ? this.recentPool : this.pool;
     }
 
     send(call: HttpCall): Promise<Either<HttpError, HttpReply>> {
--- a/src/ports/nodeHttp/test.ts
+++ b/src/ports/nodeHttp/test.ts
@@ -14,7 +14,7 @@
         path,
         headers: [],
         body: body === undefined ? undefined : Buffer.from(body),
-        fresh: true,
+        newConnection: true,
         connectTimeoutMs: 5_000,
         headTimeoutMs: 5_000,
     };
@@ -49,7 +49,7 @@
             const closed = await http.serve({ host: "127.0.0.1", port: 0 }, DEFAULT_HTTP_LIMITS, async () => undefined);
             await closed.close();
             const err = (await http.send(callTo(closed.address, "/"))).swap().unsafeCoerce();
-            assert.deepEqual({ reason: err.reason, mayHaveLeft: err.mayHaveLeft }, {
+            assert.deepEqual({ reason: err.reason, mayHaveLeft: err.mayHaveBeenSent }, {
                 reason: "refused",
                 mayHaveLeft: false,
             });
@@ -90,7 +90,7 @@
             method: "GET",
             path: "/",
             headers: [],
-            fresh: false,
+            newConnection: false,
             connectTimeoutMs: 1_000,
             headTimeoutMs: 1_000,
         });
--- a/src/ports/systemClock/index.ts
+++ b/src/ports/systemClock/index.ts
@@ -15,7 +15,7 @@
         return Date.now();
     }
 
-    override elapsed(): number {
+    override monotonicWithSuspend(): number {
         const monotonicMs = this.monotonic();
         return monotonicMs + this.sleepDetector.suspendedMs(Date.now(), monotonicMs);
     }
--- a/src/store/logStore/test.ts
+++ b/src/store/logStore/test.ts
@@ -97,11 +97,11 @@
                 const disk = new MemoryDisk(clock);
                 const store = await openStore(disk);
                 await appendOneByOne(store, makeEntries(1, 2));
-                disk.syncMs = 1;
+                disk.syncDurationMs = 1;
                 void store.append(makeEntries(3, 1));
                 await new Promise(resolve => setImmediate(resolve));
                 disk.crash(kept);
-                disk.syncMs = 0;
+                disk.syncDurationMs = 0;
                 const reopened = await openStore(disk);
                 await reopened.append(makeEntries(reopened.lastIndex + 1, 1, 2));
                 assert.match((await reopenAfterCrash(disk)).found, /^1\/1 2\/1 (3\/1 4\/2|3\/2)$/);
@@ -119,9 +119,9 @@
             const [name] = await disk.list("log");
             const size = (await disk.read(`log/${name}`))!.length;
             for (let offset = 0; offset < size; offset++) {
-                disk.damage(`log/${name}`, offset);
+                disk.flipBit(`log/${name}`, offset);
                 await assert.rejects(reopenAfterCrash(disk), isDamaged, `byte ${offset}`);
-                disk.damage(`log/${name}`, offset);
+                disk.flipBit(`log/${name}`, offset);
             }
             assert.equal((await reopenAfterCrash(disk)).found, "1/1 2/1 3/1");
         });
@@ -132,9 +132,9 @@
             const state = Buffer.from("state");
             await store.saveSnapshot({ index: 1 as LogIndex, term: 1 as Term, configuration: {}, state });
             for (const path of ["vote", "identity", "snapshot"]) {
-                disk.damage(path, 6);
+                disk.flipBit(path, 6);
                 await assert.rejects(reopenAfterCrash(disk), isDamaged, path);
-                disk.damage(path, 6);
+                disk.flipBit(path, 6);
             }
         });
     });
--- a/src/time/trueTime/index.ts
+++ b/src/time/trueTime/index.ts
@@ -42,7 +42,7 @@
      *
      * @param wallMs - The host's current wall time, in milliseconds since the epoch.
      */
-    learn(host: HostId, wallMs: number): void {
+    addReading(host: HostId, wallMs: number): void {
         const nowMs = this.clock.monotonic();
         const source = this.sources.get(host);
         if (source) updateSource(source, wallMs - nowMs, nowMs);
--- a/src/time/trueTime/test.ts
+++ b/src/time/trueTime/test.ts
@@ -31,9 +31,9 @@
     it("ignores jumps of most other hosts' clocks", () => {
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
-        for (const host of [A, B, C]) time.learn(host, clock.now());
+        for (const host of [A, B, C]) time.addReading(host, clock.now());
         const before = time.now();
-        for (const host of [A, B]) time.learn(host, clock.now() + 2_400);
+        for (const host of [A, B]) time.addReading(host, clock.now() + 2_400);
         assert.equal(time.now(), before);
     });
 
@@ -41,26 +41,26 @@
         // The machine was suspended for five seconds, and its monotonic clock stood still: all wall clocks are five seconds ahead.
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
-        for (const host of [A, B, C]) time.learn(host, clock.now());
+        for (const host of [A, B, C]) time.addReading(host, clock.now());
         clock.stepMs = 5_000;
-        for (const host of [A, B, C]) time.learn(host, clock.now());
+        for (const host of [A, B, C]) time.addReading(host, clock.now());
         assert.equal(time.now(), clock.now());
     });
 
     it("returns the median when hosts differ from the start", () => {
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
-        time.learn(A, clock.now() + 5_000);
-        time.learn(B, clock.now() + 10);
-        time.learn(C, clock.now() - 10);
+        time.addReading(A, clock.now() + 5_000);
+        time.addReading(B, clock.now() + 10);
+        time.addReading(C, clock.now() - 10);
         assert.equal(time.now(), clock.now() + 10);
     });
 
     it("accepts the new time of a clock that keeps it", async () => {
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
-        time.learn(A, clock.now());
-        const learn = (): void => time.learn(A, clock.now() + 1_000);
+        time.addReading(A, clock.now());
+        const learn = (): void => time.addReading(A, clock.now() + 1_000);
         learn();
         await clock.advance(600_000);
         learn();
--- a/src/tools/sendStream/index.ts
+++ b/src/tools/sendStream/index.ts
@@ -41,7 +41,7 @@
         path: ENGINE_PATHS.chat,
         headers: target.key === undefined ? [] : [["authorization", `Bearer ${target.key}`]],
         body: Buffer.from(JSON.stringify(makeChatBody(target, requestId, tokens))),
-        fresh: false,
+        newConnection: false,
         connectTimeoutMs: TIMEOUT_MS,
         headTimeoutMs: TIMEOUT_MS,
     });
--- a/src/wire/peerChannel/index.ts
+++ b/src/wire/peerChannel/index.ts
@@ -260,9 +260,9 @@
                 return;
             }
             if (now - this.lastSentAt >= timing.heartbeatMs) this.send([FrameKind.Ping, 0, ""]);
-            clock.after(clock.untilTick(timing.heartbeatMs / 2), check);
+            clock.after(clock.msUntilTick(timing.heartbeatMs / 2), check);
         };
-        clock.after(clock.untilTick(timing.heartbeatMs / 2), check);
+        clock.after(clock.msUntilTick(timing.heartbeatMs / 2), check);
     }
 }
 
--- a/src/wire/peerLink/test.ts
+++ b/src/wire/peerLink/test.ts
@@ -93,7 +93,7 @@
             // dropped the open connection: no bytes pass, and neither end is notified. Without heartbeats, an end that
             // waits for a reply would wait forever.
             const { clock, fabric, link } = await startPair();
-            fabric.forget(SERVER, CLIENT);
+            fabric.blackholeConnections(SERVER, CLIENT);
             const lost = await clock.runUntil(link.call("echo", 1, 10_000), 10_000);
             assert.match(String(lost.extract()), /lost/);
             await clock.advance(200);
