--- a/src/cli/billingCommands/index.ts
+++ b/src/cli/billingCommands/index.ts
@@ -29,7 +29,7 @@
 ];
 
 async function listOrders(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const orders = await context.operatorApi.ask(client => client.orders.query());
+    const orders = await context.operatorApi.call(client => client.orders.query());
     context.output.printTable(orders, [
         { title: "ORDER", read: row => row.orderId },
         { title: "TO", read: row => row.target.to === "engine" ? row.target.upstream : "platform" },
@@ -55,7 +55,7 @@
 }
 
 async function listWindows(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const { open, closed } = await context.operatorApi.ask(client => client.windows.query());
+    const { open, closed } = await context.operatorApi.call(client => client.windows.query());
     const rows: readonly WindowRow[] = [
         ...closed.map(window => ({
             window: window.window,
@@ -86,7 +86,7 @@
 }
 
 async function showWindow([start]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
-    const window = await context.operatorApi.ask(client =>
+    const window = await context.operatorApi.call(client =>
         client.window.query(readRequiredWholeNumber(start, "<start>"))
     );
     context.output.printTable(window.lines, [
--- a/src/cli/configCommands/index.ts
+++ b/src/cli/configCommands/index.ts
@@ -102,7 +102,7 @@
 }
 
 async function showTemplate([name]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
-    const template = await context.operatorApi.ask(client => client.template.query(name));
+    const template = await context.operatorApi.call(client => client.template.query(name));
     context.output.printRecord(template, [
         `template ${template.name}, revision ${template.revision}, by ${template.operator}`,
         JSON.stringify(template.spec, undefined, 4),
@@ -110,7 +110,7 @@
 }
 
 async function listTemplates(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const templates = await context.operatorApi.ask(client => client.templates.query());
+    const templates = await context.operatorApi.call(client => client.templates.query());
     context.output.printTable(templates, [
         { title: "NAME", read: row => row.name },
         { title: "REVISION", read: row => row.revision },
@@ -137,7 +137,7 @@
 }
 
 async function showWorkspace([id]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
-    const workspace = await context.operatorApi.ask(client => client.workspace.query(id));
+    const workspace = await context.operatorApi.call(client => client.workspace.query(id));
     const { view } = workspace;
     context.output.printRecord(workspace, [
         `workspace ${id}, template ${workspace.template}, revision ${workspace.revision}, by ${workspace.operator}`,
@@ -151,7 +151,7 @@
 }
 
 async function listWorkspaces(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const workspaces = await context.operatorApi.ask(client => client.workspaces.query());
+    const workspaces = await context.operatorApi.call(client => client.workspaces.query());
     context.output.printTable(workspaces, [
         { title: "ID", read: row => row.id },
         { title: "TEMPLATE", read: row => row.template },
--- a/src/cli/documentCommands/index.ts
+++ b/src/cli/documentCommands/index.ts
@@ -20,7 +20,7 @@
 
 async function applyDocument([file]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
     const text = await context.readFile(file);
-    const answer = await context.operatorApi.ask(client => client.applyDocument.mutate(text));
+    const answer = await context.operatorApi.call(client => client.applyDocument.mutate(text));
     const { version, state, revision } = answer;
     const line = state === "replaced"
         ? `version ${version} is in force, revision ${revision}`
@@ -29,6 +29,6 @@
 }
 
 async function readDocument(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const text = await context.operatorApi.ask(client => client.readDocument.query());
+    const text = await context.operatorApi.call(client => client.readDocument.query());
     context.output.printRecord(JSON.parse(text), [text.trimEnd()]);
 }
--- a/src/cli/entryApi/index.ts
+++ b/src/cli/entryApi/index.ts
@@ -62,7 +62,7 @@
     }
 
     private async listEntries(): Promise<readonly LiveEntry[]> {
-        const hosts = await this.operatorApi.ask(client => client.hosts.query());
+        const hosts = await this.operatorApi.call(client => client.hosts.query());
         const fetch = createTrpcFetch(this.http, CALL_TIMEOUT_MS);
         return hosts.flatMap(({ host, adminAddress }) => {
             const address = adminAddress === undefined ? undefined : parseAddress(adminAddress);
--- a/src/cli/fleetCommands/index.ts
+++ b/src/cli/fleetCommands/index.ts
@@ -61,7 +61,7 @@
 ];
 
 async function listHosts(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const hosts = await context.operatorApi.ask(client => client.hosts.query());
+    const hosts = await context.operatorApi.call(client => client.hosts.query());
     context.output.printTable(hosts, [
         { title: "HOST", read: row => row.host },
         { title: "ZONE", read: row => row.zone },
--- a/src/cli/keyCommands/index.ts
+++ b/src/cli/keyCommands/index.ts
@@ -51,7 +51,7 @@
 }
 
 async function listKeys([workspace]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
-    const keys = await context.operatorApi.ask(client => client.keys.query(workspace));
+    const keys = await context.operatorApi.call(client => client.keys.query(workspace));
     context.output.printTable(keys, [
         { title: "KEY ID", read: row => row.id },
         { title: "GRANTED", read: row => formatTime(row.grantedAt) },
--- a/src/cli/operatorApi/index.ts
+++ b/src/cli/operatorApi/index.ts
@@ -17,7 +17,7 @@
     readonly http: Http;
     readonly clock: Clock;
     /** Operator addresses of control hosts; at least one. */
-    readonly control: readonly Address[];
+    readonly controlAddresses: readonly Address[];
 }
 
 /** Whether to retry a failed call, and the holder's address if the error contains it. */
@@ -36,7 +36,7 @@
     private readonly addresses: Address[];
 
     constructor(private readonly options: OperatorApiOptions) {
-        this.addresses = [...options.control];
+        this.addresses = [...options.controlAddresses];
     }
 
     /**
@@ -44,7 +44,7 @@
      *
      * @throws CliError with the holder's error message, or when no control host answers in time.
      */
-    async ask<Answer>(procedure: (client: OperatorClient) => Promise<Answer>): Promise<Answer> {
+    async call<Answer>(procedure: (client: OperatorClient) => Promise<Answer>): Promise<Answer> {
         const { clock } = this.options;
         const deadline = clock.monotonic() + TOTAL_TIMEOUT_MS;
         for (;;) {
@@ -64,7 +64,7 @@
     /** Submits a configuration change. */
     change(change: ConfigChange): Promise<ChangeAnswer> {
         // The procedure's input type is inferred from the schema, which has no branded IDs.
-        return this.ask(client => client.change.mutate(change as never));
+        return this.call(client => client.change.mutate(change as never));
     }
 
     private connect(address: Address): OperatorClient {
--- a/src/cli/quarantineCommands/index.ts
+++ b/src/cli/quarantineCommands/index.ts
@@ -19,7 +19,7 @@
 ];
 
 async function listRequests(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const requests = await context.operatorApi.ask(client => client.quarantinedRequests.query());
+    const requests = await context.operatorApi.call(client => client.quarantinedRequests.query());
     context.output.printTable(requests, [
         { title: "FINGERPRINT", read: ({ fingerprint }) => fingerprint },
         { title: "UNTIL", read: ({ until }) => new Date(until).toISOString() },
@@ -33,7 +33,7 @@
     _: CommandOptions,
     context: CommandContext,
 ): Promise<void> {
-    const answer = await context.operatorApi.ask(client => client.liftQuarantine.mutate(fingerprint));
+    const answer = await context.operatorApi.call(client => client.liftQuarantine.mutate(fingerprint));
     const how = answer.state === "changed" ? "may run again" : "was not quarantined";
     context.output.printRecord(answer, [`request ${fingerprint} ${how}, revision ${answer.revision}`]);
 }
--- a/src/cli/runCli/index.ts
+++ b/src/cli/runCli/index.ts
@@ -104,7 +104,7 @@
         userName,
         readProfiles,
     });
-    const operatorApi = new OperatorApi({ http, clock, control: profile.control });
+    const operatorApi = new OperatorApi({ http, clock, controlAddresses: profile.control });
     return {
         operatorApi,
         entryApi: new EntryApi(operatorApi, http),
--- a/src/cli/zoneCommands/index.ts
+++ b/src/cli/zoneCommands/index.ts
@@ -26,19 +26,19 @@
 ];
 
 async function evacuateZone([zone]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
-    const answer = await context.operatorApi.ask(client => client.evacuateZone.mutate(zone));
+    const answer = await context.operatorApi.call(client => client.evacuateZone.mutate(zone));
     const how = answer.state === "changed" ? "is evacuated" : "was evacuated already";
     context.output.printRecord(answer, [`zone ${zone} ${how}, revision ${answer.revision}`]);
 }
 
 async function restoreZone([zone]: readonly string[], _: CommandOptions, context: CommandContext): Promise<void> {
-    const answer = await context.operatorApi.ask(client => client.restoreZone.mutate(zone));
+    const answer = await context.operatorApi.call(client => client.restoreZone.mutate(zone));
     const how = answer.state === "changed" ? "is restored" : "was not evacuated";
     context.output.printRecord(answer, [`zone ${zone} ${how}, revision ${answer.revision}`]);
 }
 
 async function listZones(_: readonly string[], _options: CommandOptions, context: CommandContext): Promise<void> {
-    const zones = await context.operatorApi.ask(client => client.evacuatedZones.query());
+    const zones = await context.operatorApi.call(client => client.evacuatedZones.query());
     context.output.printTable(zones, [
         { title: "ZONE", read: ({ zone }) => zone },
         { title: "REVISION", read: ({ revision }) => revision },
--- a/src/features/steps/processes.ts
+++ b/src/features/steps/processes.ts
@@ -179,11 +179,11 @@
 
 Then("each accepted workspace is there with its key", STEP_OPTIONS, async function(this: ProcessWorld) {
     const { api, acceptedWorkspaces: accepted } = this.run;
-    const workspaces = await api.ask(client => client.workspaces.query());
+    const workspaces = await api.call(client => client.workspaces.query());
     const names = workspaces.map(({ id }) => String(id));
     assert.deepEqual(accepted.filter(name => !names.includes(name)), []);
     for (const name of accepted) {
-        const keys = await api.ask(client => client.keys.query(name));
+        const keys = await api.call(client => client.keys.query(name));
         assert.deepEqual(keys.map(({ id }) => String(id)), [name]);
     }
 });
--- a/src/features/world/processRun.ts
+++ b/src/features/world/processRun.ts
@@ -71,7 +71,7 @@
         });
         try {
             const ports = { clock: new SystemClock(), random: new SystemRandom(), http: new NodeHttp() };
-            const api = new OperatorApi({ ...ports, control: fleet.operatorAddresses });
+            const api = new OperatorApi({ ...ports, controlAddresses: fleet.operatorAddresses });
             const { header } = makeMixedTrace({ chats: 0, orders: 0, withinMs: 0 });
             const run = new ProcessRun(fleet, api, ports, await deployTrace(api, ports.random, header));
             await run.watchKeys();
--- a/src/tools/benchEntry/main.ts
+++ b/src/tools/benchEntry/main.ts
@@ -110,7 +110,7 @@
 async function runBenchmark(fleet: ProcessFleet): Promise<Record<string, number>> {
     const http = new NodeHttp();
     const random = new SystemRandom();
-    const api = new OperatorApi({ http, clock: new SystemClock(), control: fleet.operatorAddresses });
+    const api = new OperatorApi({ http, clock: new SystemClock(), controlAddresses: fleet.operatorAddresses });
     const keys = await deployTrace(api, random, TRACE_HEADER);
     const engine = parseAddress(fleet.upstreamAddresses[0])!;
     const paths: MeasuredPaths = {
--- a/src/tools/demo/main.ts
+++ b/src/tools/demo/main.ts
@@ -78,7 +78,7 @@
 
 async function replayOnFleet(fleet: ProcessFleet, trace: Trace, speed: number): Promise<number> {
     const ports = { clock: new SystemClock(), random: new SystemRandom(), http: new NodeHttp() };
-    const api = new OperatorApi({ ...ports, control: fleet.operatorAddresses });
+    const api = new OperatorApi({ ...ports, controlAddresses: fleet.operatorAddresses });
     const keys = await deployTrace(api, ports.random, trace.header);
     const emulator = new EmulatorClient(ports.http, fleet.emulatorAddress);
     const progress = new Progress(ports.clock, trace.requests.length, line => process.stderr.write(line));
