--- a/src/emulator/_lib/memoryWorld.ts
+++ b/src/emulator/_lib/memoryWorld.ts
@@ -18,7 +18,7 @@
 } from "../../protocol/index.js";
 import { DEFAULT_ANNOUNCER_CONFIG } from "../announcer/index.js";
 import { DEFAULT_ENGINE_TIMING } from "../batch/index.js";
-import { EngineConfig, EngineStandIn } from "../engineStandIn/index.js";
+import { EmulatedEngine, EngineConfig } from "../emulatedEngine/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
 import { EmulatorPorts } from "./emulatorPorts.js";
 import { postJson, readJson, sendEmpty } from "./json.js";
@@ -65,9 +65,9 @@
     }
 
     /** Starts an engine, and also the entry that it announces itself to unless that runs already. */
-    async startEngine(overrides: Partial<EngineConfig> = {}): Promise<{ engine: EngineStandIn; address: Address; }> {
+    async startEngine(overrides: Partial<EngineConfig> = {}): Promise<{ engine: EmulatedEngine; address: Address; }> {
         if (!this.web.servers.has("entry:1")) await this.startEntry();
-        const engine = new EngineStandIn(this.ports("engine"), { ...makeEngineConfig(), ...overrides });
+        const engine = new EmulatedEngine(this.ports("engine"), { ...makeEngineConfig(), ...overrides });
         return { engine, address: await engine.start() };
     }
 
--- a/src/emulator/answerService/index.ts
+++ b/src/emulator/answerService/index.ts
@@ -5,7 +5,7 @@
 import { countPromptTokens } from "../answerText/index.js";
 import { Batch, EngineTiming } from "../batch/index.js";
 import { ChatLedger } from "../chatLedger/index.js";
-import { RequestFault } from "../engineFaults/index.js";
+import { EngineFault } from "../engineFaults/index.js";
 import { KvState } from "../kvTransfer/index.js";
 import { CacheListener, PrefixCache } from "../prefixCache/index.js";
 
@@ -82,7 +82,7 @@
     }
 
     /** Answers one request; resolves once its stream has ended. */
-    async answer(body: EngineRequest, req: HttpRequest, res: HttpResponse, fault?: RequestFault): Promise<void> {
+    async answer(body: EngineRequest, req: HttpRequest, res: HttpResponse, fault?: EngineFault): Promise<void> {
         this.requestCount++;
         if (fault?.kind === "late") await this.clock.sleep(fault.delayMs, req.closed);
         res.head(200, EVENT_STREAM_HEADERS);
--- a/src/emulator/answerStream/index.ts
+++ b/src/emulator/answerStream/index.ts
@@ -2,7 +2,7 @@
 import { EngineRequest, EngineUsage, STREAM_DONE } from "../../protocol/index.js";
 import { answerLength, answerSeed, answerToken } from "../answerText/index.js";
 import { Sequence } from "../batch/index.js";
-import { RequestFault } from "../engineFaults/index.js";
+import { EngineFault } from "../engineFaults/index.js";
 
 /** Finish reason in a stream's last chunk. */
 export type FinishReason = "stop" | "length" | "cancelled";
@@ -18,7 +18,7 @@
 /** Options of an answer stream. */
 export interface AnswerStreamOptions {
     /** Fault to inject into this answer. */
-    readonly fault: RequestFault | undefined;
+    readonly fault: EngineFault | undefined;
     /** Mean length of answers whose prompt has no length hint, in tokens. */
     readonly meanTokens: number;
     /** Called when the request gets a slot. */
--- a/src/emulator/controlAction/index.ts
+++ b/src/emulator/controlAction/index.ts
@@ -2,10 +2,10 @@
 import * as z from "zod";
 import { parseAddress } from "../../ports/index.js";
 import { offerSchema } from "../../protocol/index.js";
+import { EmulatedEngine } from "../emulatedEngine/index.js";
 import { EmulatedService } from "../emulatedService/index.js";
-import { EngineStandIn } from "../engineStandIn/index.js";
+import { Emulator } from "../emulator/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
-import { StandInSet } from "../standInSet/index.js";
 
 const SIMPLE_UPSTREAM_ACTIONS = ["crash", "restart", "leave", "stop", "freeze", "thaw", "mute", "unmute"] as const;
 const countSchema = z.int().min(0);
@@ -64,7 +64,7 @@
  * applyAction(emulator, keyWatch, { action: "crash", upstream: "draft-vogar-4" });
  */
 export function applyAction(
-    emulator: StandInSet,
+    emulator: Emulator,
     keyWatch: KeyWatch,
     action: ControlAction,
 ): Either<ActionError, void> {
@@ -72,10 +72,10 @@
     const upstream = emulator.find(action.upstream);
     if (!upstream) return Left(new ActionError("no-upstream", action.upstream));
     if (action.action === "restart") return Right(void emulator.restart(action.upstream));
-    return upstream instanceof EngineStandIn ? applyToEngine(upstream, action) : applyToService(upstream, action);
+    return upstream instanceof EmulatedEngine ? applyToEngine(upstream, action) : applyToService(upstream, action);
 }
 
-function applyToEmulator(emulator: StandInSet, keyWatch: KeyWatch, action: EmulatorAction): void {
+function applyToEmulator(emulator: Emulator, keyWatch: KeyWatch, action: EmulatorAction): void {
     switch (action.action) {
         case "platform-faults":
             return emulator.platform.addFaults(...action.faults);
@@ -90,7 +90,7 @@
     }
 }
 
-function applyToEngine(engine: EngineStandIn, action: UpstreamAction): Either<ActionError, void> {
+function applyToEngine(engine: EmulatedEngine, action: UpstreamAction): Either<ActionError, void> {
     switch (action.action) {
         case "freeze":
         case "thaw":
@@ -110,7 +110,10 @@
         : applyToUpstream(service, action);
 }
 
-function applyToUpstream(upstream: EngineStandIn | EmulatedService, action: UpstreamAction): Either<ActionError, void> {
+function applyToUpstream(
+    upstream: EmulatedEngine | EmulatedService,
+    action: UpstreamAction,
+): Either<ActionError, void> {
     switch (action.action) {
         case "crash":
             return Right(void upstream.crash());
@@ -122,7 +125,7 @@
         case "unmute":
             return Right(upstream.setMuted(action.action === "mute"));
         case "limit":
-            return Right(upstream.nameLimit(action.perSecond));
+            return Right(upstream.advertiseRequestLimit(action.perSecond));
         default:
             return Left(new ActionError("wrong-kind", `${action.action} of ${action.upstream}`));
     }
--- a/src/emulator/controlAction/test.ts
+++ b/src/emulator/controlAction/test.ts
@@ -1,13 +1,13 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { MemoryWorld } from "../_lib/memoryWorld.js";
+import { Emulator } from "../emulator/index.js";
 import { DEFAULT_EMULATOR_SETTINGS } from "../emulatorSettings/index.js";
-import { StandInSet } from "../standInSet/index.js";
 import { applyAction } from "./index.js";
 
 async function startEmulator() {
     const world = new MemoryWorld();
-    const emulator = new StandInSet(world.ports("emulator"), {
+    const emulator = new Emulator(world.ports("emulator"), {
         ...DEFAULT_EMULATOR_SETTINGS,
         host: "emulator",
         engines: 2,
--- a/src/emulator/controlApi/index.ts
+++ b/src/emulator/controlApi/index.ts
@@ -2,8 +2,8 @@
 import { Address, DEFAULT_HTTP_LIMITS, Http, HttpRequest, HttpResponse, Listener } from "../../ports/index.js";
 import { readJson, sendEmpty, sendJson } from "../_lib/json.js";
 import { applyAction, ControlAction, controlActionSchema } from "../controlAction/index.js";
+import { Emulator } from "../emulator/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
-import { StandInSet } from "../standInSet/index.js";
 
 /** Answer to `GET /runs`: how often each service call and each chat request ran. */
 export const runsSchema = z.object({
@@ -28,7 +28,7 @@
 export class ControlApi {
     constructor(
         private readonly http: Http,
-        private readonly emulator: StandInSet,
+        private readonly emulator: Emulator,
         private readonly keyWatch: KeyWatch,
     ) {}
 
@@ -51,7 +51,7 @@
     }
 
     private listRuns(): Runs {
-        return { calls: this.emulator.ledger.list(), chats: this.emulator.chats.list() };
+        return { calls: this.emulator.runLedger.list(), chats: this.emulator.chatLedger.list() };
     }
 
     private applyAndAnswer(action: ControlAction, res: HttpResponse): void {
--- a/src/emulator/callStandIn/index.ts
+++ b/src/emulator/emulatedCallUpstream/index.ts
@@ -29,7 +29,7 @@
 }
 
 /** Options of an emulated upstream for routed calls. */
-export interface CallStandInOptions {
+export interface EmulatedCallUpstreamOptions {
     readonly clock: Clock;
     readonly http: Http;
     readonly id: string;
@@ -64,7 +64,7 @@
  * const upstream = await CallStandIn.start(options);
  * upstream.faults.push("lost");
  */
-export class CallStandIn {
+export class EmulatedCallUpstream {
     /** Calls that ran, in order. */
     readonly runs: CallRun[] = [];
     /** Faults for the next calls; each call removes the first one. */
@@ -80,13 +80,13 @@
     /** Times of its crashes, in milliseconds on the monotonic clock. */
     readonly crashes: number[] = [];
 
-    private constructor(private readonly options: CallStandInOptions) {
+    private constructor(private readonly options: EmulatedCallUpstreamOptions) {
         for (const { id, tokens } of options.holds ?? []) this.cachedPartTokens.set(id, tokens);
         this.becomeCold(options.coldMs ?? 0);
     }
 
-    static async start(options: CallStandInOptions): Promise<CallStandIn> {
-        const upstream = new CallStandIn(options);
+    static async start(options: EmulatedCallUpstreamOptions): Promise<EmulatedCallUpstream> {
+        const upstream = new EmulatedCallUpstream(options);
         await upstream.listen();
         return upstream;
     }
@@ -125,7 +125,7 @@
     }
 
     /** Sets the limit that its answers state, in requests per second; undefined: none. Requests beyond the limit are not refused. */
-    nameLimit(perSecond: number | undefined): void {
+    advertiseRequestLimit(perSecond: number | undefined): void {
         this.requestLimit = perSecond;
     }
 
--- a/src/emulator/engineStandIn/index.ts
+++ b/src/emulator/emulatedEngine/index.ts
@@ -44,7 +44,7 @@
  * const engine = new EngineStandIn(ports, cfg);
  * const address = await engine.start();
  */
-export class EngineStandIn extends EmulatedUpstream {
+export class EmulatedEngine extends EmulatedUpstream {
     /** Faults for the next chat requests. */
     readonly faults = new FaultQueue();
     /** Orders received. */
--- a/src/emulator/emulatedPlatform/index.ts
+++ b/src/emulator/emulatedPlatform/index.ts
@@ -122,7 +122,7 @@
     }
 
     private handleGet(path: string, res: HttpResponse): void {
-        if (path === PLATFORM_PATHS.offers) return sendJson(res, 200, this.orders.list());
+        if (path === PLATFORM_PATHS.offers) return sendJson(res, 200, this.orders.listOffers());
         if (!path.startsWith(PLATFORM_PATHS.weights)) return sendJson(res, 404, { error: "no such path" });
         const waitMs = this.weightStore.tryFetch();
         if (waitMs > 0) {
--- a/src/emulator/emulatedUpstream/index.ts
+++ b/src/emulator/emulatedUpstream/index.ts
@@ -108,13 +108,13 @@
     }
 
     /** Sets the limit that its answers state, in requests per second; undefined: none. Requests beyond the limit are not refused. */
-    nameLimit(perSecond: number | undefined): void {
+    advertiseRequestLimit(perSecond: number | undefined): void {
         this.requestLimit = perSecond;
         this.requestCountSinceLimit = 0;
     }
 
     /** Number of requests since the stated limit was last changed. */
-    get requestsSinceLimit(): number {
+    get requestsSinceLimitChange(): number {
         return this.requestCountSinceLimit;
     }
 
--- a/src/emulator/standInSet/index.ts
+++ b/src/emulator/emulator/index.ts
@@ -3,10 +3,10 @@
 import { EmulatorPorts } from "../_lib/emulatorPorts.js";
 import { AnnouncerConfig } from "../announcer/index.js";
 import { ChatLedger } from "../chatLedger/index.js";
+import { EmulatedEngine, EngineStats } from "../emulatedEngine/index.js";
 import { EmulatedPlatform, PlatformStats } from "../emulatedPlatform/index.js";
 import { EmulatedService, ServiceStats } from "../emulatedService/index.js";
 import { EmulatorSettings } from "../emulatorSettings/index.js";
-import { EngineStandIn, EngineStats } from "../engineStandIn/index.js";
 import { KeyLeakCounts } from "../keyWatch/index.js";
 import { RunLedger } from "../runLedger/index.js";
 import { StartRequest, UpstreamProvisioner } from "../upstreamProvisioner/index.js";
@@ -35,11 +35,11 @@
  * const emulator = new StandInSet(ports, settings);
  * const platformAddress = await emulator.startAll();
  */
-export class StandInSet extends UpstreamProvisioner {
+export class Emulator extends UpstreamProvisioner {
     readonly platform: EmulatedPlatform;
-    readonly ledger = new RunLedger();
-    readonly chats = new ChatLedger();
-    readonly engines = new Map<string, EngineStandIn>();
+    readonly runLedger = new RunLedger();
+    readonly chatLedger = new ChatLedger();
+    readonly engines = new Map<string, EmulatedEngine>();
     readonly services = new Map<string, EmulatedService>();
     private entries: readonly Address[];
     /** Tokens that engines had produced before they were restarted. */
@@ -106,7 +106,7 @@
     }
 
     /** Returns the upstream with the id, or undefined. */
-    find(id: string): EngineStandIn | EmulatedService | undefined {
+    find(id: string): EmulatedEngine | EmulatedService | undefined {
         return this.engines.get(id) ?? this.services.get(id);
     }
 
@@ -130,8 +130,8 @@
             services: [...this.services.values()].map(service => service.stats()),
             platform: this.platform.stats(),
             tokens: engines.reduce((sum, engine) => sum + engine.tokens, this.tokensBeforeRestarts),
-            calls: this.ledger.distinctCallCount,
-            doubledCalls: this.ledger.doubled(),
+            calls: this.runLedger.distinctCallCount,
+            doubledCalls: this.runLedger.doubled(),
             keys: this.ports.keyWatch.counts(),
         };
     }
@@ -162,21 +162,21 @@
 
     private async startEngine(identity: UpstreamIdentity): Promise<void> {
         const { settings } = this;
-        const engine = new EngineStandIn(this.ports, {
+        const engine = new EmulatedEngine(this.ports, {
             identity,
             address: { host: settings.host, port: 0 },
             pace: settings,
             cacheBlocks: settings.cacheBlocks,
             meanTokens: settings.meanTokens,
             announcer: this.makeAnnouncerConfig(),
-        }, this.chats);
+        }, this.chatLedger);
         this.engines.set(identity.id, engine);
         await engine.start();
     }
 
     private async startService(identity: UpstreamIdentity): Promise<void> {
         const { settings } = this;
-        const service = new EmulatedService(this.ports, this.ledger, {
+        const service = new EmulatedService(this.ports, this.runLedger, {
             identity,
             address: { host: settings.host, port: 0 },
             slots: settings.serviceSlots,
--- a/src/emulator/standInSet/test.ts
+++ b/src/emulator/emulator/test.ts
@@ -6,7 +6,7 @@
 import { answerLength, expectedAnswer } from "../answerText/index.js";
 import { DEFAULT_EMULATOR_SETTINGS } from "../emulatorSettings/index.js";
 import { KeyWatch } from "../keyWatch/index.js";
-import { StandInSet } from "./index.js";
+import { Emulator } from "./index.js";
 
 const MESSAGES = [{ role: "user", content: "Cuts for Friday [tokens=5]" }];
 const TIMEOUT_MS = 10_000;
@@ -16,7 +16,7 @@
         const http = new NodeHttp();
         const keyWatch = new KeyWatch();
         const ports = { clock: new SystemClock(), random: new SeededRandom(1), http, keyWatch };
-        const emulator = new StandInSet(ports, { ...DEFAULT_EMULATOR_SETTINGS, engines: 1, services: 1 });
+        const emulator = new Emulator(ports, { ...DEFAULT_EMULATOR_SETTINGS, engines: 1, services: 1 });
         keyWatch.add("leaked-key");
         try {
             await emulator.startAll();
@@ -37,7 +37,7 @@
             assert.equal(contents, expectedAnswer(MESSAGES, answerLength(MESSAGES)));
             assert.match(text, /data: \[DONE\]\n\n$/);
             assert.equal(emulator.stats().keys.watchedKeys, 1);
-            assert.deepEqual(emulator.chats.list(), [{ request: "r1", runs: 1, tokens: 5 }]);
+            assert.deepEqual(emulator.chatLedger.list(), [{ request: "r1", runs: 1, tokens: 5 }]);
         }
         finally {
             await emulator.close();
--- a/src/emulator/engineFaults/index.ts
+++ b/src/emulator/engineFaults/index.ts
@@ -7,7 +7,7 @@
  * - `crossed`: the answer is that of another request, under its id.
  * - `refused`: the answer is an error status.
  */
-export type RequestFault =
+export type EngineFault =
     | { readonly kind: "cut" | "silent" | "unfinished"; readonly afterTokens: number; }
     | { readonly kind: "late"; readonly delayMs: number; }
     | { readonly kind: "crossed"; readonly id: string; }
@@ -15,15 +15,15 @@
 
 /** Faults for an engine's next chat requests; each request removes the first one. */
 export class FaultQueue {
-    private readonly faults: RequestFault[] = [];
+    private readonly faults: EngineFault[] = [];
 
     /** Adds faults, one per later request. */
-    add(...faults: RequestFault[]): void {
+    add(...faults: EngineFault[]): void {
         this.faults.push(...faults);
     }
 
     /** Removes and returns the next fault, or undefined if there is none. */
-    take(): RequestFault | undefined {
+    take(): EngineFault | undefined {
         return this.faults.shift();
     }
 }
--- a/src/emulator/main.ts
+++ b/src/emulator/main.ts
@@ -4,9 +4,9 @@
 import { basename, dirname } from "node:path";
 import { FileDisk, formatAddress, NodeHttp, SeededRandom, SystemClock } from "../ports/index.js";
 import { ControlApi } from "./controlApi/index.js";
+import { Emulator } from "./emulator/index.js";
 import { emulatorSettingsSchema, readEmulatorSettings, SettingsError } from "./emulatorSettings/index.js";
 import { KeyWatch } from "./keyWatch/index.js";
-import { StandInSet } from "./standInSet/index.js";
 
 const EXIT_BAD_SETTINGS = 2;
 
@@ -47,7 +47,7 @@
     const http = new NodeHttp();
     const keyWatch = new KeyWatch();
     const ports = { clock: new SystemClock(), random: new SeededRandom(settings.seed), http, keyWatch };
-    const emulator = new StandInSet(ports, settings);
+    const emulator = new Emulator(ports, settings);
     const platform = await emulator.startAll();
     const control = await new ControlApi(http, emulator, keyWatch).start({
         host: settings.host,
--- a/src/emulator/orderReceiver/index.ts
+++ b/src/emulator/orderReceiver/index.ts
@@ -68,7 +68,7 @@
     }
 
     /** Returns the current offers. */
-    list(): readonly Offer[] {
+    listOffers(): readonly Offer[] {
         return this.offers;
     }
 
--- a/src/entry/limitedUpstreams/test.ts
+++ b/src/entry/limitedUpstreams/test.ts
@@ -59,7 +59,7 @@
             // Otherwise an overloaded upstream would get its usual share, whatever limit it sets.
             const running = await startFleet();
             await running.run(Promise.all(await sendLoad(running, 2)));
-            running.upstreams[0].nameLimit(limit);
+            running.upstreams[0].advertiseRequestLimit(limit);
             const since = running.clock.monotonic() + PROPAGATION_MS;
             const replies = await sendLoad(running, 12);
             assert.ok(running.upstreams[0].runs.length > 0);
@@ -75,7 +75,7 @@
     it("gets no more while its queue changes owner", async () => {
         // A new owner of the queue has not received the limits that the previous owner received.
         const running = await startFleet();
-        running.upstreams[0].nameLimit(1);
+        running.upstreams[0].advertiseRequestLimit(1);
         await running.run(Promise.all(await sendLoad(running, 4)));
         const since = running.clock.monotonic();
         for (let round = 0; round < 2; round++) {
@@ -88,7 +88,7 @@
     it("gets no more from entries that decide on their own", async () => {
         // Otherwise each entry would use the whole limit.
         const running = await startFleet({}, { keyless: true });
-        running.upstreams[0].nameLimit(4);
+        running.upstreams[0].advertiseRequestLimit(4);
         await running.run(Promise.all(await sendLoad(running, 4, 80)));
         running.cutEntriesApart();
         const since = running.clock.monotonic();
@@ -100,7 +100,7 @@
     it("gets no more while entries disagree on who owns its queue", async () => {
         // Otherwise two concurrent owners would each grant the whole limit.
         const running = await startFleet();
-        running.upstreams[0].nameLimit(8);
+        running.upstreams[0].advertiseRequestLimit(8);
         await running.run(Promise.all(await sendLoad(running, 4, 80)));
         running.cutControlFromEntries(running.queueOwner(POOL), [0, 1]);
         await running.run(Promise.all(await sendLoad(running, 2, 80)));
@@ -111,7 +111,7 @@
 
     it("gets no more after an entry that knew the limit has restarted", async () => {
         const running = await startFleet();
-        running.upstreams[0].nameLimit(1);
+        running.upstreams[0].advertiseRequestLimit(1);
         await running.run(Promise.all(await sendLoad(running, 4)));
         const since = running.clock.monotonic();
         await running.killEntry(0);
@@ -122,9 +122,9 @@
 
     it("gets its full share again soon after it has removed its limit", async () => {
         const running = await startFleet();
-        running.upstreams[0].nameLimit(1);
+        running.upstreams[0].advertiseRequestLimit(1);
         await running.run(Promise.all(await sendLoad(running, 4)));
-        running.upstreams[0].nameLimit(undefined);
+        running.upstreams[0].advertiseRequestLimit(undefined);
         await running.run(Promise.all(await sendLoad(running, 2)));
         const since = running.clock.monotonic();
         await running.run(Promise.all(await sendLoad(running, 4)));
@@ -134,9 +134,9 @@
     it("gets its full share again also where the only entry that received the limit has ended", async () => {
         // Otherwise the limit would stay in force, since no remaining host learns that it was removed.
         const running = await startFleet();
-        running.upstreams[0].nameLimit(1);
+        running.upstreams[0].advertiseRequestLimit(1);
         await running.run(Promise.all(await sendLoad(running, 2, 24, [0])));
-        running.upstreams[0].nameLimit(undefined);
+        running.upstreams[0].advertiseRequestLimit(undefined);
         await running.killEntry(0);
         await running.run(Promise.all(await sendLoad(running, 2, 24, [1, 2, 3])));
         const since = running.clock.monotonic();
@@ -147,7 +147,7 @@
     it("has its calls refused as not run, with a retry time, where there is no other upstream", async () => {
         // Otherwise calls would wait for an overloaded upstream until their callers give up.
         const running = await startFleet({ upstreams: [{ slots: 24, workMs: 40 }] });
-        running.upstreams[0].nameLimit(1);
+        running.upstreams[0].advertiseRequestLimit(1);
         await running.run(Promise.all(await sendLoad(running, 4, 4)));
         const since = running.clock.monotonic();
         const replies = await running.run(Promise.all(await sendLoad(running, 10, 8)));
--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -203,9 +203,9 @@
 /** Ends the request limit that one upstream advertises, and lets a randomly picked one advertise it. */
 async function moveRequestLimit(run: CallScheduleRun): Promise<void> {
     const { fleet, random } = run;
-    fleet.upstreams[run.limitedUpstream].nameLimit(undefined);
+    fleet.upstreams[run.limitedUpstream].advertiseRequestLimit(undefined);
     run.limitedUpstream = random.integer(0, UPSTREAM_COUNT);
-    fleet.upstreams[run.limitedUpstream].nameLimit(LIMIT_REQUESTS_PER_S);
+    fleet.upstreams[run.limitedUpstream].advertiseRequestLimit(LIMIT_REQUESTS_PER_S);
 }
 
 async function endFaults(run: CallScheduleRun): Promise<void> {
--- a/src/faultInjection/routedFleet/index.ts
+++ b/src/faultInjection/routedFleet/index.ts
@@ -1,6 +1,6 @@
 import { DEFAULT_LOG_TIMING } from "../../consensus/index.js";
 import { ControlProcess } from "../../control/index.js";
-import { CallStandIn, CallStandInOptions } from "../../emulator/index.js";
+import { EmulatedCallUpstream, EmulatedCallUpstreamOptions } from "../../emulator/index.js";
 import { DEFAULT_ENTRY_LIMITS, EntryProcess, startQueueHost } from "../../entry/index.js";
 import { HostId, Incarnation, PoolId, ZoneId } from "../../ids/index.js";
 import { SilentLogger } from "../../logging/index.js";
@@ -38,7 +38,7 @@
     /** Number of entry processes. */
     readonly entries: number;
     /** Options of each emulated upstream, where they differ from the defaults. */
-    readonly upstreams: readonly Partial<CallStandInOptions>[];
+    readonly upstreams: readonly Partial<EmulatedCallUpstreamOptions>[];
     /** Whether control hosts own the queues of pools; otherwise entries do. */
     readonly queueHosts: boolean;
     /** The zones that may be evacuated; undefined for any. */
@@ -63,7 +63,7 @@
     /** The queue owners that run on control hosts, by control number. */
     readonly queues: (EntryProcess | undefined)[] = [];
     readonly disks: MemoryDisk[] = [];
-    readonly upstreams: CallStandIn[] = [];
+    readonly upstreams: EmulatedCallUpstream[] = [];
     readonly layout: RoutedLayout;
     private readonly random: SeededRandom;
     private readonly caller = new TestCaller(this.clock, this.web);
@@ -83,7 +83,7 @@
         }
         for (let number = 0; number < this.layout.entries; number++) await this.run(this.startEntry(number));
         for (const [number, options] of this.layout.upstreams.entries()) {
-            this.upstreams.push(await CallStandIn.start(this.makeUpstreamOptions(number, options)));
+            this.upstreams.push(await EmulatedCallUpstream.start(this.makeUpstreamOptions(number, options)));
         }
         void this.announcePeriodically();
         await this.pass(3_000);
@@ -285,7 +285,10 @@
         }
     }
 
-    private makeUpstreamOptions(number: number, options: Partial<CallStandInOptions>): CallStandInOptions {
+    private makeUpstreamOptions(
+        number: number,
+        options: Partial<EmulatedCallUpstreamOptions>,
+    ): EmulatedCallUpstreamOptions {
         const host = `${UPSTREAM_HOST_PREFIX}${number + 1}`;
         return {
             clock: this.clock,
--- a/src/features/steps/answers.ts
+++ b/src/features/steps/answers.ts
@@ -1,16 +1,16 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
-import { EngineStandIn, RequestFault } from "../../emulator/index.js";
+import { EmulatedEngine, EngineFault } from "../../emulator/index.js";
 import { FleetWorld } from "../world/index.js";
 
 const POLL_INTERVAL_MS = 5;
 const TOKENS_TIMEOUT_MS = 60_000;
 
-function listEngines(world: FleetWorld): EngineStandIn[] {
-    return [...world.fleet.standIns.engines.values()];
+function listEngines(world: FleetWorld): EmulatedEngine[] {
+    return [...world.fleet.emulator.engines.values()];
 }
 
-function addFault(world: FleetWorld, fault: RequestFault): void {
+function addFault(world: FleetWorld, fault: EngineFault): void {
     for (const engine of listEngines(world)) engine.faults.add(fault);
 }
 
--- a/src/features/steps/calls.ts
+++ b/src/features/steps/calls.ts
@@ -8,7 +8,7 @@
 const MAX_RESENDS = 60;
 
 function addFault(world: FleetWorld, fault: ServiceFault): void {
-    for (const service of world.fleet.standIns.services.values()) service.addFaults(fault);
+    for (const service of world.fleet.emulator.services.values()) service.addFaults(fault);
 }
 
 function makeFault(kind: string): ServiceFault {
@@ -25,7 +25,7 @@
 });
 
 Given("the services' hosts refuse connections", async function(this: FleetWorld) {
-    const services = [...this.fleet.standIns.services.values()];
+    const services = [...this.fleet.emulator.services.values()];
     await this.settle(Promise.all(services.map(service => service.crash())));
 });
 
@@ -83,5 +83,5 @@
 });
 
 Then("the order {string} has never run", function(this: FleetWorld, text: string) {
-    assert.ok(!this.fleet.standIns.ledger.has("orders", digestBody(Buffer.from(text))));
+    assert.ok(!this.fleet.emulator.runLedger.has("orders", digestBody(Buffer.from(text))));
 });
--- a/src/features/steps/crashes.ts
+++ b/src/features/steps/crashes.ts
@@ -39,12 +39,12 @@
 );
 
 Then("at most {int} engines have crashed", function(this: FleetWorld, most: number) {
-    const crashed = countCrashed(this.fleet.standIns.engines.values());
+    const crashed = countCrashed(this.fleet.emulator.engines.values());
     assert.ok(crashed > 0 && crashed <= most, `${crashed} crashed`);
 });
 
 Then("at most {int} services have crashed", function(this: FleetWorld, most: number) {
-    const crashed = countCrashed(this.fleet.standIns.services.values());
+    const crashed = countCrashed(this.fleet.emulator.services.values());
     assert.ok(crashed > 0 && crashed <= most, `${crashed} crashed`);
 });
 
--- a/src/features/steps/holders.ts
+++ b/src/features/steps/holders.ts
@@ -76,20 +76,20 @@
 );
 
 Then("no window was reported with two figures", function(this: FleetWorld) {
-    const { conflicting, doubledWindows, reports } = this.fleet.standIns.platform.usage.stats();
+    const { conflicting, doubledWindows, reports } = this.fleet.emulator.platform.usage.stats();
     assert.ok(reports > 0);
     assert.deepEqual({ conflicting, doubledWindows }, { conflicting: 0, doubledWindows: 0 });
 });
 
 Then("no report came from an old holder after a new one's", function(this: FleetWorld) {
-    assert.equal(this.fleet.standIns.platform.usage.stats().reversals, 0);
+    assert.equal(this.fleet.emulator.platform.usage.stats().reversals, 0);
 });
 
 Then("the reports give each workspace what was answered", async function(this: FleetWorld) {
     const results = await this.chatResults();
     await this.fleet.advance(this.fleet.layout.windowMs + REPORT_WAIT_MS);
     const accepted = new Map(
-        this.fleet.standIns.platform.usage.received
+        this.fleet.emulator.platform.usage.received
             .filter(({ isStale }) => !isStale)
             .map(({ report }) => [report.report_id, report]),
     );
--- a/src/features/steps/leaving.ts
+++ b/src/features/steps/leaving.ts
@@ -6,16 +6,16 @@
 const CHECK_INTERVAL_MS = 10;
 
 When("an engine says that it leaves", function(this: FleetWorld) {
-    [...this.fleet.standIns.engines.values()][0].leave();
+    [...this.fleet.emulator.engines.values()][0].leave();
 });
 
 When("an engine is reclaimed with {int} ms notice", function(this: FleetWorld, noticeMs: number) {
-    [...this.fleet.standIns.engines.values()][0].reclaim(noticeMs);
+    [...this.fleet.emulator.engines.values()][0].reclaim(noticeMs);
 });
 
 Then("the leaving engine got none of them", async function(this: FleetWorld) {
     await this.chatResults();
-    assert.equal([...this.fleet.standIns.engines.values()][0].stats().lateRequests, 0);
+    assert.equal([...this.fleet.emulator.engines.values()][0].stats().lateRequests, 0);
 });
 
 When("entry {int} is stopped as planned", async function(this: FleetWorld, entry: number) {
@@ -64,7 +64,7 @@
 });
 
 When("the upstreams' announcements are lost from now on for {int} ms", function(this: FleetWorld, ms: number) {
-    const engines = [...this.fleet.standIns.engines.values()];
+    const engines = [...this.fleet.emulator.engines.values()];
     for (const engine of engines) engine.setMuted(true);
     this.fleet.clock.after(ms, () => {
         for (const engine of engines) engine.setMuted(false);
@@ -76,7 +76,7 @@
     async function(this: FleetWorld, ms: number) {
         for (let passed = 0; passed < ms; passed += CHECK_INTERVAL_MS) {
             await this.fleet.advance(CHECK_INTERVAL_MS);
-            for (const { id, queued } of this.fleet.standIns.stats().engines) {
+            for (const { id, queued } of this.fleet.emulator.stats().engines) {
                 assert.equal(queued, 0, `${id} after ${passed} ms`);
             }
         }
--- a/src/features/steps/limits.ts
+++ b/src/features/steps/limits.ts
@@ -17,7 +17,7 @@
 );
 
 Given("each engine refuses its next {int} requests", function(this: FleetWorld, count: number) {
-    for (const engine of this.fleet.standIns.engines.values()) {
+    for (const engine of this.fleet.emulator.engines.values()) {
         for (let added = 0; added < count; added++) engine.faults.add({ kind: "refused", status: 503 });
     }
 });
@@ -54,7 +54,7 @@
 });
 
 Then("the engines got at most {int} requests", function(this: FleetWorld, limit: number) {
-    const engines = this.fleet.standIns.stats().engines;
+    const engines = this.fleet.emulator.stats().engines;
     const requests = engines.reduce((sum, engine) => sum + engine.requests, 0);
     assert.ok(requests <= limit, `${requests} requests`);
 });
--- a/src/features/steps/purchases.ts
+++ b/src/features/steps/purchases.ts
@@ -1,6 +1,6 @@
 import { Given, Then, When } from "@cucumber/cucumber";
 import assert from "node:assert/strict";
-import { EngineStandIn, LoggedOrder } from "../../emulator/index.js";
+import { EmulatedEngine, LoggedOrder } from "../../emulator/index.js";
 import { OrderRecord } from "../../order/index.js";
 import { DEFAULT_COVER } from "../../purchase/index.js";
 import { FleetWorld } from "../world/index.js";
@@ -45,7 +45,7 @@
             purchases: { cover: { holdMs: 15_000 }, forecast: { peakHalfLifeMs: 10_000, startMs: 5_000 } },
         });
         this.requestsAtStop = [];
-        const { standIns } = this.fleet;
+        const { emulator: standIns } = this.fleet;
         const stop = standIns.stop.bind(standIns);
         standIns.stop = (id: string) => {
             const stats = standIns.engines.get(id)?.stats();
@@ -86,26 +86,26 @@
 });
 
 Given("the platform has no reclaimable engine left", function(this: FleetWorld) {
-    const { orders } = this.fleet.standIns.platform;
-    orders.setOffers(orders.list().map(offer => offer.reclaimable ? { ...offer, available: 0 } : offer));
+    const { orders } = this.fleet.emulator.platform;
+    orders.setOffers(orders.listOffers().map(offer => offer.reclaimable ? { ...offer, available: 0 } : offer));
 });
 
 Given("the platform's list of offers stays as it is for {int} seconds", function(this: FleetWorld, seconds: number) {
-    const { orders } = this.fleet.standIns.platform;
-    const list = orders.list.bind(orders);
-    const offers = orders.list();
+    const { orders } = this.fleet.emulator.platform;
+    const list = orders.listOffers.bind(orders);
+    const offers = orders.listOffers();
     const setOffers = orders.setOffers.bind(orders);
     orders.setOffers = changed => {
         setOffers(changed);
-        orders.list = () => offers;
+        orders.listOffers = () => offers;
     };
     this.fleet.clock.after(seconds * MS_PER_SECOND, () => {
-        orders.list = list;
+        orders.listOffers = list;
     });
 });
 
 Given("the answer to the next order is lost", function(this: FleetWorld) {
-    this.fleet.standIns.platform.addFaults({ kind: "lost" });
+    this.fleet.emulator.platform.addFaults({ kind: "lost" });
 });
 
 When("the platform has an order", LONG_STEP_OPTIONS, async function(this: FleetWorld) {
@@ -120,7 +120,7 @@
 When(
     "the zone with the most ordered reclaimable engines is reclaimed with {int} ms notice",
     function(this: PurchaseWorld, noticeMs: number) {
-        const { orders } = this.fleet.standIns.platform;
+        const { orders } = this.fleet.emulator.platform;
         const reclaimableEngines = listOrderedEngines(this).filter(({ id }) => orders.offerOf(id)!.reclaimable);
         assert.ok(reclaimableEngines.length > 0, "no reclaimable engine was ordered");
         const countIn = (zone: string): number =>
@@ -153,7 +153,7 @@
 );
 
 Then("engines were ordered in each zone, the cheap ones evenly", function(this: FleetWorld) {
-    const { orders } = this.fleet.standIns.platform;
+    const { orders } = this.fleet.emulator.platform;
     const offers = listOrderedEngines(this).map(({ id }) => orders.offerOf(id)!);
     const counts = ZONES.map(zone => offers.filter(offer => offer.zone === zone && offer.reclaimable).length);
     assert.ok(Math.min(...counts) > 0, String(counts));
@@ -167,7 +167,7 @@
 });
 
 Then("engines were released", function(this: FleetWorld) {
-    assert.ok(this.fleet.standIns.platform.stats().orders.stopped > 0);
+    assert.ok(this.fleet.emulator.platform.stats().orders.stopped > 0);
 });
 
 Then("no engine had work when the platform was told to stop it", function(this: PurchaseWorld) {
@@ -175,7 +175,7 @@
 });
 
 Then("no engine got work later than two seconds after it was told to drain", function(this: FleetWorld) {
-    for (const { id, lateRequests } of this.fleet.standIns.stats().engines) assert.equal(lateRequests, 0, id);
+    for (const { id, lateRequests } of this.fleet.emulator.stats().engines) assert.equal(lateRequests, 0, id);
 });
 
 Then("each chat sent since the reclaim is answered whole", LONG_STEP_OPTIONS, async function(this: PurchaseWorld) {
@@ -189,7 +189,7 @@
 
 Then("replacements were ordered in other zones", function(this: PurchaseWorld) {
     const replacements = listStartOrders(this).filter(order =>
-        this.fleet.standIns.platform.orders.log.orders.indexOf(order)
+        this.fleet.emulator.platform.orders.log.orders.indexOf(order)
             >= this.ordersBefore
     );
     assert.ok(replacements.some(({ target }) => !target.startsWith(this.reclaimedZone)));
@@ -204,15 +204,15 @@
 });
 
 Then("the platform got an order again under its own id", function(this: FleetWorld) {
-    assert.ok(this.fleet.standIns.platform.stats().orders.repeats > 0);
+    assert.ok(this.fleet.emulator.platform.stats().orders.repeats > 0);
 });
 
 Then("no order came from an old holder after a new one's", function(this: FleetWorld) {
-    assert.equal(this.fleet.standIns.platform.stats().orders.reversals, 0);
+    assert.equal(this.fleet.emulator.platform.stats().orders.reversals, 0);
 });
 
 Then("nothing was ordered twice", function(this: FleetWorld) {
-    const { orders } = this.fleet.standIns.platform;
+    const { orders } = this.fleet.emulator.platform;
     // Reclaimable engines for 12 busy slots plus 25 % headroom; at their price the initial steady engines are not worth keeping.
     const needed = Math.ceil(BUSY_SLOTS * DEFAULT_COVER.headroom / SLOTS_PER_ENGINE);
     assert.equal(listOrderedEngines(this).length, needed);
@@ -220,7 +220,7 @@
 });
 
 Then("no engine was told to drain", function(this: FleetWorld) {
-    for (const engine of this.fleet.standIns.engines.values()) {
+    for (const engine of this.fleet.emulator.engines.values()) {
         assert.deepEqual(engine.orders.orders.map(({ action }) => action), [], engine.id);
     }
 });
@@ -230,7 +230,7 @@
 }
 
 async function awaitOrder(world: FleetWorld): Promise<void> {
-    const { log } = world.fleet.standIns.platform.orders;
+    const { log } = world.fleet.emulator.platform.orders;
     for (let passed = 0; log.orders.length === 0; passed++) {
         assert.ok(passed < ORDER_TIMEOUT_MS, "the platform received no order");
         await world.fleet.advance(1);
@@ -238,14 +238,14 @@
 }
 
 function listStartOrders(world: FleetWorld): LoggedOrder[] {
-    return world.fleet.standIns.platform.orders.log.orders.filter(({ action }) => action === "start");
+    return world.fleet.emulator.platform.orders.log.orders.filter(({ action }) => action === "start");
 }
 
 /** Lists the engines that completed orders have started. */
-function listOrderedEngines(world: FleetWorld): EngineStandIn[] {
+function listOrderedEngines(world: FleetWorld): EmulatedEngine[] {
     const records = world.fleet.controls.flatMap<OrderRecord>(control => control?.state.orders.listFinished() ?? []);
     const ids = new Set(records.filter(isStartOrder).flatMap(record => record.upstreams));
-    return [...world.fleet.standIns.engines.values()].filter(engine => ids.has(engine.id));
+    return [...world.fleet.emulator.engines.values()].filter(engine => ids.has(engine.id));
 }
 
 function isStartOrder({ target }: OrderRecord): boolean {
@@ -254,7 +254,7 @@
 
 /** Checks that no ordered engine is reclaimable. */
 function assertAllSteady(world: FleetWorld): void {
-    const { orders } = world.fleet.standIns.platform;
+    const { orders } = world.fleet.emulator.platform;
     const engines = listOrderedEngines(world);
     assert.ok(engines.length > 0);
     for (const { id } of engines) assert.equal(orders.offerOf(id)!.reclaimable, false, id);
--- a/src/features/steps/traces.ts
+++ b/src/features/steps/traces.ts
@@ -79,7 +79,7 @@
     const ports = { clock: fleet.clock, random: new SeededRandom(7), http: fleet.web.http(CALLER_HOST) };
     const addresses = fleet.entryNumbers().map(number => fleet.entryAddress(number));
     const applyFault = async (action: ControlAction): Promise<void> => {
-        applyAction(fleet.standIns, fleet.keyWatch, action).unsafeCoerce();
+        applyAction(fleet.emulator, fleet.keyWatch, action).unsafeCoerce();
     };
     const startedAt = fleet.clock.monotonic();
     const replay = replayTrace(ports, trace, { ...DEFAULT_CALLER, addresses, keys, speed: 1, applyFault });
@@ -94,14 +94,14 @@
 });
 
 Then("each refused request has not run, and no call has run twice", function(this: TraceWorld) {
-    const { ledger, chats } = this.fleet.standIns;
+    const { runLedger: ledger, chatLedger: chats } = this.fleet.emulator;
     const runs = { chats: chats.list(), calls: ledger.list() };
     const { untruthful, doubledCalls } = crossCheck(this.trace, this.results, runs);
     assert.deepEqual({ untruthful, doubledCalls }, { untruthful: [], doubledCalls: [] });
 });
 
 Then("what was answered is reported to the platform exactly once", function(this: TraceWorld) {
-    const { usage } = this.fleet.standIns.platform;
+    const { usage } = this.fleet.emulator.platform;
     const { conflicting, doubledWindows } = usage.stats();
     assert.deepEqual({ conflicting, doubledWindows }, { conflicting: 0, doubledWindows: 0 });
     const billedLines = usage.received.flatMap(({ report }) => report.lines);
--- a/src/features/steps/upstreamLimits.ts
+++ b/src/features/steps/upstreamLimits.ts
@@ -18,11 +18,11 @@
 }
 
 Given("an engine names a limit of {int} request(s) a second", function(this: FleetWorld, perSecond: number) {
-    [...this.fleet.standIns.engines.values()][0].nameLimit(perSecond);
+    [...this.fleet.emulator.engines.values()][0].advertiseRequestLimit(perSecond);
 });
 
 Given("a service names a limit of {int} request(s) a second", function(this: FleetWorld, perSecond: number) {
-    [...this.fleet.standIns.services.values()][0].nameLimit(perSecond);
+    [...this.fleet.emulator.services.values()][0].advertiseRequestLimit(perSecond);
 });
 
 When(
@@ -46,11 +46,11 @@
 );
 
 Then("that engine got at most {int} requests", function(this: FleetWorld, most: number) {
-    const got = [...this.fleet.standIns.engines.values()][0].requestsSinceLimit;
+    const got = [...this.fleet.emulator.engines.values()][0].requestsSinceLimitChange;
     assert.ok(got > 0 && got <= most, `${got} requests`);
 });
 
 Then("that service got at most {int} requests", function(this: FleetWorld, most: number) {
-    const got = [...this.fleet.standIns.services.values()][0].requestsSinceLimit;
+    const got = [...this.fleet.emulator.services.values()][0].requestsSinceLimitChange;
     assert.ok(got > 0 && got <= most, `${got} requests`);
 });
--- a/src/features/steps/wholePath.ts
+++ b/src/features/steps/wholePath.ts
@@ -44,7 +44,7 @@
 });
 
 Then("no upstream has seen a key", function(this: FleetWorld) {
-    const { watchedKeys, credentialHeaders } = this.fleet.standIns.stats().keys;
+    const { watchedKeys, credentialHeaders } = this.fleet.emulator.stats().keys;
     assert.deepEqual({ watchedKeys, credentialHeaders }, { watchedKeys: 0, credentialHeaders: 0 });
 });
 
@@ -56,14 +56,14 @@
 });
 
 Then("the order {string} has run once", function(this: FleetWorld, text: string) {
-    const { ledger } = this.fleet.standIns;
+    const { runLedger: ledger } = this.fleet.emulator;
     const name = `orders ${digestBody(Buffer.from(text))}`;
     assert.ok(ledger.has("orders", digestBody(Buffer.from(text))));
     assert.ok(!ledger.doubled().includes(name));
 });
 
 Then("the platform has one report for each window", function(this: FleetWorld) {
-    const { conflicting, doubledWindows, reports } = this.fleet.standIns.platform.usage.stats();
+    const { conflicting, doubledWindows, reports } = this.fleet.emulator.platform.usage.stats();
     assert.ok(reports > 0);
     assert.deepEqual({ conflicting, doubledWindows }, { conflicting: 0, doubledWindows: 0 });
 });
@@ -71,7 +71,7 @@
 Then(
     "the reports give {string} {int} request(s) and {int} token(s)",
     function(this: FleetWorld, workspace: string, requests: number, tokens: number) {
-        const lines = this.fleet.standIns.platform.usage.received
+        const lines = this.fleet.emulator.platform.usage.received
             .flatMap(({ report }) => report.lines)
             .filter(line => line.workspace === workspace);
         const sum = (pick: (line: typeof lines[number]) => number): number =>
--- a/src/features/world/memoryFleet.ts
+++ b/src/features/world/memoryFleet.ts
@@ -1,7 +1,7 @@
 import { Either } from "purify-ts";
 import { DEFAULT_LOG_TIMING, LogTiming, ProposeError } from "../../consensus/index.js";
 import { ControlProcess, CoverPolicy, NoProvisioning, OfferReader, ProvisioningPolicy } from "../../control/index.js";
-import { DEFAULT_EMULATOR_SETTINGS, EmulatorSettings, KeyWatch, StandInSet } from "../../emulator/index.js";
+import { DEFAULT_EMULATOR_SETTINGS, Emulator, EmulatorSettings, KeyWatch } from "../../emulator/index.js";
 import { DEFAULT_ENTRY_LIMITS, EntryLimits, EntryProcess } from "../../entry/index.js";
 import { HostId, Incarnation, ZoneId } from "../../ids/index.js";
 import { SilentLogger } from "../../logging/index.js";
@@ -84,7 +84,7 @@
     readonly controls: (ControlProcess | undefined)[] = [];
     readonly entries: (EntryProcess | undefined)[] = [];
     readonly disks: MemoryDisk[] = [];
-    readonly standIns: StandInSet;
+    readonly emulator: Emulator;
     readonly layout: MemoryFleetLayout;
     private readonly random: SeededRandom;
     private startCount = 0;
@@ -98,7 +98,7 @@
             http: this.web.http(EMULATOR_HOST),
             keyWatch: this.keyWatch,
         };
-        this.standIns = new StandInSet(ports, {
+        this.emulator = new Emulator(ports, {
             ...DEFAULT_EMULATOR_SETTINGS,
             host: EMULATOR_HOST,
             platformPort: PORTS.platform,
@@ -113,7 +113,7 @@
             this.disks.push(new MemoryDisk(this.clock));
             void this.startControl(number);
         }
-        await this.run(this.standIns.startAll());
+        await this.run(this.emulator.startAll());
         await this.run(Promise.all(this.entryNumbers().map(number => this.startEntry(number))));
         await this.advance(1_000);
     }
@@ -250,7 +250,7 @@
     /** Closes all processes and upstreams, so that the test process can exit. */
     async close(): Promise<void> {
         const ends = [...this.entries, ...this.controls].map(process => process?.close());
-        await this.run(Promise.all([...ends, this.standIns.close()]));
+        await this.run(Promise.all([...ends, this.emulator.close()]));
     }
 
     allHosts(): string[] {
--- a/src/load/consortiumPlan/index.ts
+++ b/src/load/consortiumPlan/index.ts
@@ -1,4 +1,4 @@
-import { ControlAction, RequestFault, ServiceFault } from "../../emulator/index.js";
+import { ControlAction, EngineFault, ServiceFault } from "../../emulator/index.js";
 import { EMULATOR_DEFAULTS, SAFETY_BOUNDS } from "../_lib/planDefaults.js";
 import { TracePlan, WorkspacePlan } from "../generateTrace/index.js";
 
@@ -155,7 +155,7 @@
     ],
 };
 
-function makeEngineFaults(engine: string, faults: RequestFault[]): ControlAction {
+function makeEngineFaults(engine: string, faults: EngineFault[]): ControlAction {
     return { action: "engine-faults", upstream: `${MODEL}-${engine}`, faults };
 }
 
--- a/src/load/emulatorClient/test.ts
+++ b/src/load/emulatorClient/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { ControlApi, DEFAULT_EMULATOR_SETTINGS, KeyWatch, StandInSet } from "../../emulator/index.js";
+import { ControlApi, DEFAULT_EMULATOR_SETTINGS, Emulator, KeyWatch } from "../../emulator/index.js";
 import { MemoryFabric, MemoryHttpFabric, SeededRandom, VirtualClock } from "../../ports/index.js";
 import { EmulatorClient, EmulatorError } from "./index.js";
 
@@ -13,7 +13,7 @@
         const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
         const keyWatch = new KeyWatch();
         const ports = { clock, random: new SeededRandom(1), http: web.http(CONTROL.host), keyWatch };
-        const set = new StandInSet(ports, { ...DEFAULT_EMULATOR_SETTINGS, host: CONTROL.host, engines: 2 });
+        const set = new Emulator(ports, { ...DEFAULT_EMULATOR_SETTINGS, host: CONTROL.host, engines: 2 });
         await clock.runUntil(set.startAll(), LIMIT_MS);
         await new ControlApi(ports.http, set, keyWatch).start(CONTROL);
         const client = new EmulatorClient(web.http("caller"), CONTROL);
