--- a/src/daemon/test.ts
+++ b/src/daemon/test.ts
@@ -99,7 +99,7 @@
             const first = await startControl(file);
             await first.line("\"ready\"");
             await first.kill();
-            await scratch.halve("damaged/identity");
+            await scratch.truncateToHalf("damaged/identity");
             const [code, lines] = await waitForFailure(await startControl(file));
             assert.equal(lines.length, 1, lines.join("\n"));
             assert.match(lines[0], /^sequoiamuxd: damaged: .*identity/);
--- a/src/features/steps/processes.ts
+++ b/src/features/steps/processes.ts
@@ -115,7 +115,7 @@
         const holder = await this.run.awaitHolder();
         const lost = (holder + 1) % fleet.controls.length;
         await fleet.controls[lost].kill();
-        await fleet.wipeControl(lost);
+        await fleet.deleteControlData(lost);
         const program = fleet.startControl(lost);
         await program.line("\"ready\"", WAIT_TIMEOUT_MS);
         await this.run.waitUntil(
--- a/src/features/world/processRun.ts
+++ b/src/features/world/processRun.ts
@@ -186,7 +186,7 @@
     }
 
     private async watchKeys(): Promise<void> {
-        const client = new EmulatorClient(this.ports.http, parseAddress(this.fleet.emulatorControl)!);
+        const client = new EmulatorClient(this.ports.http, parseAddress(this.fleet.emulatorControlAddress)!);
         await client.apply({ action: "watch-keys", keys: [...this.keys.values()] });
     }
 }
--- a/src/tools/fleet/index.ts
+++ b/src/tools/fleet/index.ts
@@ -115,7 +115,7 @@
     }
 
     /** `IP:port` of the emulator's control API. */
-    get emulatorControl(): string {
+    get emulatorControlAddress(): string {
         return this.emulatorListeners.control;
     }
 
@@ -134,7 +134,7 @@
     }
 
     /** Deletes a control process's data folder, as if its disk had been replaced. */
-    async wipeControl(number: number): Promise<void> {
+    async deleteControlData(number: number): Promise<void> {
         await rm(this.dataFolderPath(number), { recursive: true, force: true });
     }
 
--- a/src/tools/scratchFolder/index.ts
+++ b/src/tools/scratchFolder/index.ts
@@ -19,7 +19,7 @@
     }
 
     /** Truncates a file to half its size. */
-    async halve(name: string): Promise<void> {
+    async truncateToHalf(name: string): Promise<void> {
         const path = join(this.path, name);
         const bytes = await readFile(path);
         await writeFile(path, bytes.subarray(0, bytes.length / 2));
