--- a/src/consensus/clusterBootstrap/test.ts
+++ b/src/consensus/clusterBootstrap/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { Either, Left, Right } from "purify-ts";
-import { FLEET_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
+import { FLEET_LOG_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
 import { HostId, StoreId } from "../../ids/index.js";
 import { Lifecycle } from "../../lifecycle/index.js";
 import { SilentLogger } from "../../logging/index.js";
@@ -42,7 +42,7 @@
     const events = { onDurable() {}, onApplied() {}, onStepDown() {}, onFailure: (err: Error) => assert.fail(err) };
     const stateMachine = { apply() {}, snapshot() {}, restore() {}, entryVersionOf: () => 1 };
     const store = await LogStore.open({ disk, random });
-    const replica = new Replica({ host, store, stateMachine, clock, timing: FLEET_TIMING, logger, events });
+    const replica = new Replica({ host, store, stateMachine, clock, timing: FLEET_LOG_TIMING, logger, events });
     const links = new ScriptedLinks(undefined as never, new Lifecycle());
     const list = ["a", "b", "c"].map(name => ({ host: name as HostId, address: { host: name, port: 1 } }));
     const bootstrap = new ClusterBootstrap(replica, links, random, list[1], list);
@@ -70,7 +70,7 @@
         const { clock, disk, links, bootstrap } = await openHostB();
         disk.syncDurationMs = 50;
         links.statuses.set("a", makeBootstrappedStatus("first", "a1"));
-        await clock.advance(FLEET_TIMING.heartbeatMs / 4 + 10);
+        await clock.advance(FLEET_LOG_TIMING.heartbeatMs / 4 + 10);
         assert.throws(() => bootstrap.handleStatus({ host: "a" as HostId, storeId: "a2" as StoreId }));
         await clock.advance(100);
         const { cluster } = bootstrap.handleStatus({ host: "a" as HostId, storeId: "a2" as StoreId });
@@ -84,7 +84,7 @@
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.start("a");
         await fleet.start("b");
-        await fleet.pass(20_000);
+        await fleet.advance(20_000);
         assert.equal(fleet.holder(), undefined);
         await fleet.start("c");
         await fleet.converge();
@@ -96,16 +96,16 @@
         // for a new installation.
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
-        await fleet.passUntil(() => fleet.isWhole());
+        await fleet.advanceUntil(() => fleet.hasFullMembership());
         await fleet.proposeMany(5);
         fleet.crash("c");
         fleet.wipe("a");
         fleet.wipe("b");
         await fleet.start("a");
         await fleet.start("b");
-        await fleet.pass(20_000);
+        await fleet.advance(20_000);
         await fleet.start("c");
-        await fleet.pass(20_000);
+        await fleet.advance(20_000);
         assert.equal(fleet.holder(), undefined);
     });
 
@@ -115,19 +115,19 @@
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
         fleet.find("c").disk.capacityBytes = 1;
-        await fleet.pass(10_000);
-        fleet.mendDisks();
+        await fleet.advance(10_000);
+        fleet.repairDisks();
         await fleet.converge();
     });
 
     it("recovers after all disks were full", async () => {
         const fleet = new ReplicaFleet(new SeededRandom(1), ["a", "b", "c"]);
         await fleet.startAll();
-        await fleet.passUntil(() => fleet.isWhole());
+        await fleet.advanceUntil(() => fleet.hasFullMembership());
         for (const { disk } of fleet.hosts.values()) disk.capacityBytes = 1;
         fleet.propose(fleet.holder()!.process!);
-        await fleet.pass(20_000);
-        fleet.mendDisks();
+        await fleet.advance(20_000);
+        fleet.repairDisks();
         await fleet.converge();
     });
 
@@ -140,7 +140,7 @@
             const fleet = new ReplicaFleet(random, ["a", "b", "c"]);
             await fleet.startAll();
             for (let time = 0; time < 3; time++) {
-                await fleet.pass(random.between(0, 300));
+                await fleet.advance(random.between(0, 300));
                 fleet.wipe("a");
                 await fleet.start("a");
             }
--- a/src/consensus/election/test.ts
+++ b/src/consensus/election/test.ts
@@ -1,29 +1,29 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { FLEET_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
+import { FLEET_LOG_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
 import { SeededRandom } from "../../ports/index.js";
 
 /** Short election delays, so that a premature election shows up as a second lease holder. */
-const EAGER_TIMING = { ...FLEET_TIMING, electionSpreadMs: 10 };
+const EAGER_TIMING = { ...FLEET_LOG_TIMING, electionSpreadMs: 10 };
 /** Clock rates just within the drift that the lease allows for. */
 const SLOW_CLOCK_RATE = 0.9901;
 const FAST_CLOCK_RATE = 1.0099;
 const HOSTS = ["a", "b", "c"];
 
-async function startFleet(seed: number, timing = FLEET_TIMING) {
+async function startFleet(seed: number, timing = FLEET_LOG_TIMING) {
     const fleet = new ReplicaFleet(new SeededRandom(seed), HOSTS, timing);
     await fleet.startAll();
-    await fleet.passUntil(() => fleet.isWhole());
+    await fleet.advanceUntil(() => fleet.hasFullMembership());
     return fleet;
 }
 
 async function cutOffHolder(fleet: ReplicaFleet) {
     const first = fleet.holder()!;
-    await fleet.pass(fleet.random.between(0, 1_000));
+    await fleet.advance(fleet.random.between(0, 1_000));
     fleet.fabric.isolate(first.name, HOSTS, true);
-    await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder() !== first);
+    await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder() !== first);
     fleet.healAll();
-    await fleet.passUntil(() => fleet.isWhole());
+    await fleet.advanceUntil(() => fleet.hasFullMembership());
 }
 
 describe("Election", () => {
@@ -49,7 +49,7 @@
                 const fleet = await startFleet(seed, EAGER_TIMING);
                 const first = fleet.holder()!.name;
                 fleet.latency = (_from, to) => to === first ? 300 : 1;
-                await fleet.pass(5_000);
+                await fleet.advance(5_000);
                 await cutOffHolder(fleet);
             });
         }
@@ -67,7 +67,7 @@
                 fleet.fabric.cut(name, other);
                 fleet.fabric.cut(other, name);
                 for (let step = 0; step < 50; step++) {
-                    await fleet.pass(200);
+                    await fleet.advance(200);
                     assert.ok(process!.log.holdsLease());
                 }
                 fleet.healAll();
@@ -88,9 +88,9 @@
                 if (name !== first.name) disk.syncDurationMs = 3_000;
             }
             fleet.propose(first.process!);
-            await fleet.passUntil(() => fleet.acked.size === 21);
+            await fleet.advanceUntil(() => fleet.acceptedCommands.size === 21);
             fleet.crash(first.name);
-            await fleet.passUntil(() => fleet.holder() !== undefined);
+            await fleet.advanceUntil(() => fleet.holder() !== undefined);
         });
     });
 
@@ -103,13 +103,13 @@
                 const fleet = await startFleet(seed, EAGER_TIMING);
                 const first = fleet.holder()!.name;
                 const others = HOSTS.filter(name => name !== first);
-                await fleet.pass(fleet.random.between(0, 500));
+                await fleet.advance(fleet.random.between(0, 500));
                 fleet.fabric.isolate(first, others, true);
                 for (const name of others) {
                     fleet.crash(name);
                     await fleet.start(name);
                 }
-                await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder()!.name !== first);
+                await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder()!.name !== first);
             });
         }
     });
@@ -124,10 +124,10 @@
             const token = process!.log.fencingToken();
             const other = HOSTS.find(host => host !== name)!;
             fleet.fabric.isolate(other, HOSTS, true);
-            await fleet.pass(60_000);
+            await fleet.advance(60_000);
             fleet.healAll();
             for (let step = 0; step < 50; step++) {
-                await fleet.pass(200);
+                await fleet.advance(200);
                 assert.ok(process!.log.holdsLease());
             }
             assert.equal(process!.log.fencingToken(), token);
@@ -146,7 +146,7 @@
             const token = process!.log.fencingToken();
             process!.host.clock.stepWallClock(3_000);
             assert.equal(process!.log.holdsLease(), false);
-            await fleet.pass(2 * FLEET_TIMING.heartbeatMs + 20);
+            await fleet.advance(2 * FLEET_LOG_TIMING.heartbeatMs + 20);
             assert.equal(process!.log.holdsLease(), true);
             assert.equal(process!.log.fencingToken(), token);
             await fleet.converge();
--- a/src/consensus/membershipManager/test.ts
+++ b/src/consensus/membershipManager/test.ts
@@ -6,7 +6,7 @@
 async function startFleet(seed = 1, founders = ["a", "b", "c"]) {
     const fleet = new ReplicaFleet(new SeededRandom(seed), founders);
     await fleet.startAll();
-    await fleet.passUntil(() => fleet.isWhole());
+    await fleet.advanceUntil(() => fleet.hasFullMembership());
     return fleet;
 }
 
@@ -28,10 +28,10 @@
                 await fleet.start(next);
                 fleet.wipe(lost);
                 await fleet.start(lost);
-                await fleet.passUntil(() => fleet.isWhole());
-                const accepted = fleet.acked.size;
+                await fleet.advanceUntil(() => fleet.hasFullMembership());
+                const accepted = fleet.acceptedCommands.size;
                 fleet.wipe(fleet.holder()!.name);
-                await fleet.passUntil(() => fleet.holder() !== undefined);
+                await fleet.advanceUntil(() => fleet.holder() !== undefined);
                 assert.ok(fleet.holder()!.process!.recorder.commands.length >= accepted);
                 for (const { name, process } of fleet.hosts.values()) {
                     if (!process) await fleet.start(name);
@@ -53,7 +53,7 @@
             fleet.wipe(lost);
             await fleet.start(lost);
             fleet.find(lost).disk.syncDurationMs = 1_000;
-            await fleet.passUntil(() => fleet.isWhole());
+            await fleet.advanceUntil(() => fleet.hasFullMembership());
             assert.ok(fleet.find(lost).process!.log["replica"].log.durableIndex >= accepted);
         });
 
@@ -65,7 +65,7 @@
             const added = fleet.addHost("x");
             await fleet.start("x");
             added.disk.syncDurationMs = 1_000;
-            await fleet.passUntil(() => fleet.holder()!.process!.log.configuration().members.length === 4);
+            await fleet.advanceUntil(() => fleet.holder()!.process!.log.configuration().members.length === 4);
             fleet.crash("x");
             await fleet.proposeMany(5);
         });
@@ -86,7 +86,7 @@
             fleet.wipe(lost);
             await fleet.start(lost);
             await fleet.start(behind);
-            await fleet.pass(20_000);
+            await fleet.advance(20_000);
             assert.equal(fleet.holder(), undefined);
             await fleet.start(holder);
             await fleet.converge();
@@ -99,18 +99,18 @@
             const fleet = await startFleet(1, ["a", "b", "c", "d"]);
             fleet.addHost("x");
             await fleet.start("x");
-            await fleet.passUntil(() => fleet.isWhole());
+            await fleet.advanceUntil(() => fleet.hasFullMembership());
             for (let round = 0; fleet.holder()!.name !== "x"; round++) {
                 assert.ok(round < 50);
                 const first = fleet.holder()!.name;
                 fleet.fabric.isolate(first, [...fleet.hosts.keys()], true);
-                await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder()!.name !== first);
+                await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder()!.name !== first);
                 fleet.healAll();
-                await fleet.passUntil(() => fleet.isWhole());
+                await fleet.advanceUntil(() => fleet.hasFullMembership());
             }
             fleet.wipe("a");
             await fleet.start("a");
-            await fleet.passUntil(() => fleet.isWhole());
+            await fleet.advanceUntil(() => fleet.hasFullMembership());
         });
     });
 
@@ -124,12 +124,12 @@
             for (const name of followersOf(fleet)) fleet.fabric.isolate(name, [first], true);
             fleet.addHost("x");
             await fleet.start("x");
-            await fleet.passUntil(() => fleet.find("x").process!.log.configuration().members.length === 4);
+            await fleet.advanceUntil(() => fleet.find("x").process!.log.configuration().members.length === 4);
             fleet.crash(first);
-            await fleet.pass(20_000);
+            await fleet.advance(20_000);
             fleet.healAll();
             await fleet.start(first);
-            await fleet.passUntil(() => fleet.isWhole());
+            await fleet.advanceUntil(() => fleet.hasFullMembership());
         });
     });
 
@@ -140,7 +140,7 @@
             fleet.crash(moved);
             await fleet.proposeMany(5);
             await fleet.start(moved, 7001);
-            await fleet.passUntil(() => fleet.find(moved).process!.log.appliedIndex() > 5);
+            await fleet.advanceUntil(() => fleet.find(moved).process!.log.appliedIndex() > 5);
             await fleet.converge();
         });
     });
@@ -151,8 +151,8 @@
             const removed = fleet.holder()!;
             const { log } = removed.process!;
             assert.ok(log.removeMember(log.storeId));
-            await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder() !== removed, 20_000);
-            await fleet.pass(10_000);
+            await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder() !== removed, 20_000);
+            await fleet.advance(10_000);
             const { members, retired } = fleet.holder()!.process!.log.committedConfiguration();
             assert.equal(members.length, 2);
             assert.ok(retired.includes(log.storeId));
--- a/src/consensus/replicatedLog/test.ts
+++ b/src/consensus/replicatedLog/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { ReplicaFleet, runSchedule } from "../../faultInjection/index.js";
+import { ReplicaFleet, runReplicaSchedule } from "../../faultInjection/index.js";
 import { HostId } from "../../ids/index.js";
 import { SeededRandom } from "../../ports/index.js";
 import { encodeValue } from "../../wire/index.js";
@@ -11,7 +11,7 @@
 async function startFleet(seed = 1) {
     const fleet = new ReplicaFleet(new SeededRandom(seed), ["a", "b", "c"]);
     await fleet.startAll();
-    await fleet.passUntil(() => fleet.isWhole());
+    await fleet.advanceUntil(() => fleet.hasFullMembership());
     return fleet;
 }
 
@@ -46,7 +46,7 @@
                 // Prevents accepted changes from being lost, duplicated or reverted, and two hosts from acting at the
                 // same time. Applies random crashes, torn writes, lost disks, network cuts, freezes, full and slow
                 // disks, and membership changes. A failure shows that a safeguard is missing.
-                await runSchedule(seed, STEP_COUNT);
+                await runReplicaSchedule(seed, STEP_COUNT);
             });
         }
     });
@@ -73,7 +73,7 @@
             const first = fleet.holder()!.process!;
             const token = first.log.fencingToken();
             first.host.freeze();
-            await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder()!.process !== first);
+            await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder()!.process !== first);
             assert.ok(fleet.holder()!.process!.log.fencingToken() > token);
             assert.equal(first.log.holdsLease(), false);
             first.host.thaw();
@@ -87,9 +87,9 @@
             const notified: boolean[] = [];
             first.log.onHolderChange(holds => notified.push(holds));
             first.host.freeze();
-            await fleet.pass(10_000);
+            await fleet.advance(10_000);
             first.host.thaw();
-            await fleet.pass(1_000);
+            await fleet.advance(1_000);
             assert.deepEqual(notified, [false]);
         });
     });
@@ -101,7 +101,7 @@
             const fleet = await startFleet();
             const first = fleet.holder()!;
             for (const other of namesExcept(fleet, first.name)) fleet.fabric.cut(other, first.name);
-            await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder() !== first, 20_000);
+            await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder() !== first, 20_000);
         });
     });
 
@@ -129,10 +129,10 @@
             fleet.find(slow).disk.syncDurationMs = 5_000;
             fleet.propose(holder.process!);
             for (let step = 0; step < 40; step++) {
-                await fleet.pass(100);
+                await fleet.advance(100);
                 assert.ok(holder.process!.log.holdsLease());
             }
-            await fleet.passUntil(() => fleet.acked.size === 1);
+            await fleet.advanceUntil(() => fleet.acceptedCommands.size === 1);
         });
     });
 
@@ -148,7 +148,7 @@
             for (let round = 0; round < 10; round++) {
                 fleet.fabric.blackholeConnections(holder.name, other);
                 for (let step = 0; step < 40; step++) {
-                    await fleet.pass(100);
+                    await fleet.advance(100);
                     assert.ok(holder.process!.log.holdsLease());
                 }
             }
@@ -165,9 +165,9 @@
             const first = fleet.holder()!;
             first.disk.capacityBytes = 1;
             fleet.propose(first.process!);
-            await fleet.passUntil(() => fleet.holder() !== undefined && fleet.holder() !== first);
+            await fleet.advanceUntil(() => fleet.holder() !== undefined && fleet.holder() !== first);
             await fleet.proposeMany(20);
-            fleet.mendDisks();
+            fleet.repairDisks();
             await fleet.converge();
         });
     });
@@ -198,7 +198,7 @@
             const fleet = await startFleet();
             const holder = fleet.holder()!;
             fleet.fabric.isolate(holder.name, [...fleet.hosts.keys()], true);
-            await fleet.pass(3_000);
+            await fleet.advance(3_000);
             const result = await fleet.clock.runUntil(holder.process!.log.readBarrier(1_000), 3_000);
             assert.ok(result.isLeft());
         });
@@ -222,7 +222,7 @@
             replica.log.append([entry as never]);
             holder.log["leadership"]!["wakeReplicators"]();
             fleet.propose(holder);
-            await fleet.pass(2_000);
+            await fleet.advance(2_000);
             assert.match(String(stoppedBy), /version 99/);
             for (const { log } of fleet.processes()) assert.ok(log.appliedIndex() < entry.index);
         });
--- a/src/consensus/restartPause/test.ts
+++ b/src/consensus/restartPause/test.ts
@@ -1,10 +1,10 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
-import { FLEET_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
+import { FLEET_LOG_TIMING, ReplicaFleet } from "../../faultInjection/index.js";
 import { SeededRandom } from "../../ports/index.js";
 
 /** Short election delays, so that a premature election shows up as a second lease holder. */
-const EAGER_TIMING = { ...FLEET_TIMING, electionSpreadMs: 50 };
+const EAGER_TIMING = { ...FLEET_LOG_TIMING, electionSpreadMs: 50 };
 const HOSTS = ["a", "b", "c", "d", "e"];
 /** Arbitrary seeds, and those with which a late candidate unseated the first leader. */
 const SEEDS = [1, 2, 3, 4, 5, 6, 67, 172, 199, 285, 313, 370];
@@ -12,8 +12,8 @@
 async function startFleet(seed: number) {
     const fleet = new ReplicaFleet(new SeededRandom(seed), HOSTS, EAGER_TIMING);
     await fleet.startAll();
-    await fleet.passUntil(() => fleet.isWhole());
-    await fleet.pass(fleet.random.between(0, 2_000));
+    await fleet.advanceUntil(() => fleet.hasFullMembership());
+    await fleet.advance(fleet.random.between(0, 2_000));
     return fleet;
 }
 
@@ -25,7 +25,7 @@
 /** Returns how long the fleet has no holder from now on, in milliseconds. */
 async function measureMsWithoutHolder(fleet: ReplicaFleet) {
     const startedAt = fleet.clock.monotonic();
-    await fleet.passUntil(() => fleet.holder() !== undefined);
+    await fleet.advanceUntil(() => fleet.holder() !== undefined);
     return fleet.clock.monotonic() - startedAt;
 }
 
@@ -94,7 +94,7 @@
                 await restart(fleet, others);
                 const successor = () => fleet.holder() !== undefined && fleet.holder()!.name !== first;
                 const startedAt = fleet.clock.monotonic();
-                await fleet.passUntil(successor);
+                await fleet.advanceUntil(successor);
                 assert.ok(fleet.clock.monotonic() - startedAt > EAGER_TIMING.leaseMs * 0.9);
             });
         }
@@ -109,7 +109,7 @@
                 const fleet = await startFleet(seed);
                 const first = fleet.holder()!.name;
                 await restart(fleet, HOSTS.filter(name => name !== first));
-                await fleet.pass(3 * EAGER_TIMING.leaseMs);
+                await fleet.advance(3 * EAGER_TIMING.leaseMs);
                 await fleet.converge();
             });
         }
--- a/src/control/documentService/test.ts
+++ b/src/control/documentService/test.ts
@@ -24,7 +24,7 @@
     it("is accepted and read at any control process", async () => {
         const fleet = await startFleet();
         for (const number of [0, 1, 2, 3, 4]) {
-            assert.equal(await fleet.replace(makeDocument({ version: 10 + number }), number), true);
+            assert.equal(await fleet.replaceDocument(makeDocument({ version: 10 + number }), number), true);
             for (const reader of [0, 1, 2, 3, 4]) assert.equal(await read(fleet, reader), 10 + number);
         }
     });
@@ -34,9 +34,9 @@
         const fleet = await startFleet();
         const others = [1, 2, 3, 4].map(number => `10.0.0.${number}`);
         fleet.fabric.isolate("10.0.0.5", others, true);
-        await fleet.pass(4_000);
+        await fleet.advance(4_000);
         const controlIndex = [0, 1, 2, 3].find(number => number === fleet.holder()) ?? 0;
-        assert.equal(await fleet.replace(makeDocument({ version: 2 }), controlIndex), true);
+        assert.equal(await fleet.replaceDocument(makeDocument({ version: 2 }), controlIndex), true);
         assert.equal(await read(fleet, 4), undefined);
         assert.equal(await read(fleet, controlIndex), 2);
     });
@@ -45,12 +45,12 @@
         // Guards against an acknowledged document that is lost: two hosts come back with empty disks and the rest after a power cut. A
         // majority of those two and of one that had not received the document would restore the old one.
         const fleet = await startFleet();
-        assert.equal(await fleet.replace(makeDocument({ version: 2 }), 1), true);
+        assert.equal(await fleet.replaceDocument(makeDocument({ version: 2 }), 1), true);
         for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
         fleet.wipeDisk(0);
         fleet.wipeDisk(1);
         for (const number of [0, 1, 2, 3, 4]) await fleet.run(fleet.startControl(number));
-        await fleet.pass(10_000);
+        await fleet.advance(10_000);
         assert.equal(await read(fleet, 3), 2);
         assert.equal(fleet.controls[fleet.holder()]!.log.committedConfiguration().members.length, 5);
     });
@@ -62,11 +62,11 @@
             fleet.disks.push(...(number === 0 ? [0, 1, 2, 3, 4].map(() => fleet.makeDisk()) : []));
             await fleet.run(fleet.startControl(number, true));
         }
-        await fleet.pass(5_000);
-        assert.equal(await fleet.replace(makeDocument(), 0), false);
+        await fleet.advance(5_000);
+        assert.equal(await fleet.replaceDocument(makeDocument(), 0), false);
         for (const number of [3, 4]) await fleet.run(fleet.startControl(number));
-        await fleet.pass(5_000);
-        assert.equal(await fleet.replace(makeDocument(), 0), true);
+        await fleet.advance(5_000);
+        assert.equal(await fleet.replaceDocument(makeDocument(), 0), true);
     });
 
     it("keeps its voters when hosts are replaced by new ones under other names", async () => {
@@ -76,10 +76,10 @@
         await fleet.killControl(4);
         fleet.disks.push(fleet.makeDisk());
         await fleet.run(fleet.startControl(5));
-        await fleet.pass(6_000);
+        await fleet.advance(6_000);
         const holder = fleet.controls[fleet.holder()]!;
         const hosts = holder.log.committedConfiguration().members.map(({ host, role }) => `${host} ${role}`);
         assert.deepEqual(hosts.sort(), [0, 1, 2, 3, 5].map(number => `control-${number} voter`));
-        assert.equal(await fleet.replace(makeDocument({ version: 2 }), 5), true);
+        assert.equal(await fleet.replaceDocument(makeDocument({ version: 2 }), 5), true);
     });
 });
--- a/src/control/quarantineService/test.ts
+++ b/src/control/quarantineService/test.ts
@@ -19,7 +19,7 @@
         await fleet.start(makeDocument({ routes: [makeRoute({ keyless: true })] }));
         for (let time = 0; time < 4; time++) {
             await fleet.call({ entry: time % 2, path: "/orders/1", body: CRASHING });
-            await fleet.pass(200);
+            await fleet.advance(200);
         }
         return fleet;
     }
@@ -57,7 +57,7 @@
         const fleet = await startFleet();
         const [{ fingerprint }] = (await read(fleet, 0))!;
         for (const number of [1, 2, 3]) await fleet.run(fleet.killControl(number));
-        await fleet.pass(3_000);
+        await fleet.advance(3_000);
         assert.equal(await read(fleet, 0), undefined);
         assert.equal((await lift(fleet, fingerprint, 0)).isLeft(), true);
     });
--- a/src/control/startsRecorder/test.ts
+++ b/src/control/startsRecorder/test.ts
@@ -23,11 +23,11 @@
                 200,
             );
         }
-        await running.pass(MAX_RECORD_DELAY_MS);
+        await running.advance(MAX_RECORD_DELAY_MS);
         for (const number of [0, 1]) await running.killEntry(number);
         for (const number of [0, 1, 2, 3, 4]) await running.killControl(number);
         for (const number of [0, 1, 2, 3, 4]) await running.run(running.startControl(number));
-        await running.pass(6_000);
+        await running.advance(6_000);
         const { openStarts, starts } = running.controls[running.holder()]!.state;
         const open = openStarts.list().flatMap(({ windows }) => windows);
         const counts = [...open, ...starts.listUnreported()].map(window => window.counts["butcher" as never] as number);
--- a/src/control/zoneEvacuation/test.ts
+++ b/src/control/zoneEvacuation/test.ts
@@ -1,7 +1,7 @@
 import fc from "fast-check";
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { RoutedFleet, RoutedLayout } from "../../faultInjection/index.js";
+import { RoutedFleet, RoutedFleetOptions } from "../../faultInjection/index.js";
 import { ZoneId } from "../../ids/index.js";
 import { makeDocument, makeRoute } from "../../routing/index.js";
 import { ZoneCommand } from "../../zone/index.js";
@@ -14,7 +14,7 @@
 describe("a zone's evacuation", () => {
     const current = { fleet: undefined as RoutedFleet | undefined };
 
-    async function startFleet(layout: Partial<RoutedLayout> = {}): Promise<RoutedFleet> {
+    async function startFleet(layout: Partial<RoutedFleetOptions> = {}): Promise<RoutedFleet> {
         const started = new RoutedFleet({ entries: 2, upstreams: UPSTREAMS, queueHosts: true, ...layout });
         current.fleet = started;
         await started.start(DOCUMENT);
@@ -26,7 +26,7 @@
         const zones = new Set<string>();
         for (let call = 0; call < calls; call++) {
             const reply = await fleet.call({ entry: call % 2, path: `/orders/${call}`, key: KEY });
-            const signer = fleet.signerOf(reply);
+            const signer = fleet.upstreamOf(reply);
             zones.add(signer === undefined ? `status ${reply.status}` : UPSTREAMS[Number(signer.at(-1))].zone);
         }
         return [...zones].sort();
@@ -43,10 +43,10 @@
         const fleet = await startFleet();
         assert.ok((await listServing(fleet)).includes("vogar"));
         for (const controlIndex of [0, 1, 2, 3, 4]) {
-            assert.equal(await fleet.orderZone("zone.evacuate", "vogar", controlIndex), true);
+            assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar", controlIndex), true);
             assert.deepEqual(await listServing(fleet), ["keflavik"]);
             assert.deepEqual(await readZones(fleet, (controlIndex + 1) % 5), ["vogar"]);
-            assert.equal(await fleet.orderZone("zone.restore", "vogar", (controlIndex + 2) % 5), true);
+            assert.equal(await fleet.submitZoneOrder("zone.restore", "vogar", (controlIndex + 2) % 5), true);
             assert.ok((await listServing(fleet)).includes("vogar"));
         }
     });
@@ -54,9 +54,9 @@
     it("is acknowledged within a second and again when it is sent again", async () => {
         const fleet = await startFleet();
         const startedAt = fleet.clock.monotonic();
-        assert.equal(await fleet.orderZone("zone.evacuate", "vogar", 3), true);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar", 3), true);
         assert.ok(fleet.clock.monotonic() - startedAt < 1_000);
-        assert.equal(await fleet.orderZone("zone.evacuate", "vogar", 1), true);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar", 1), true);
         assert.deepEqual(await readZones(fleet, 0), ["vogar"]);
     });
 
@@ -70,26 +70,26 @@
 
     it("refuses calls when the last zone is evacuated, and serves them after its restoration", async () => {
         const fleet = await startFleet();
-        assert.equal(await fleet.orderZone("zone.evacuate", "vogar"), true);
-        assert.equal(await fleet.orderZone("zone.evacuate", "keflavik"), true);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar"), true);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "keflavik"), true);
         const runsBefore = fleet.upstreams.flatMap(({ runs }) => runs).length;
         assert.deepEqual(await listServing(fleet, 2), ["status 503"]);
         assert.equal(fleet.upstreams.flatMap(({ runs }) => runs).length, runsBefore);
-        assert.equal(await fleet.orderZone("zone.restore", "keflavik"), true);
+        assert.equal(await fleet.submitZoneOrder("zone.restore", "keflavik"), true);
         assert.deepEqual(await listServing(fleet), ["keflavik"]);
     });
 
     it("survives the loss of two disks right after its acknowledgement, while all others lose power", async () => {
         // Guards against an acknowledged evacuation that is lost to a majority of empty and outdated disks.
         const fleet = await startFleet();
-        assert.equal(await fleet.orderZone("zone.evacuate", "vogar", 1), true);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar", 1), true);
         for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
         for (const number of [0, 1]) await fleet.killEntry(number);
         fleet.wipeDisk(0);
         fleet.wipeDisk(1);
         for (const number of [0, 1, 2, 3, 4]) await fleet.run(fleet.startControl(number));
         for (const number of [0, 1]) await fleet.run(fleet.startEntry(number));
-        await fleet.pass(10_000);
+        await fleet.advance(10_000);
         assert.deepEqual(await readZones(fleet, 3), ["vogar"]);
         assert.deepEqual(await listServing(fleet), ["keflavik"]);
     });
@@ -97,7 +97,7 @@
     it("binds an entry that restarts, and a new owner of the queue", async () => {
         // Guards against a new process that sends to an evacuated zone before it has received the order.
         const fleet = await startFleet();
-        assert.equal(await fleet.orderZone("zone.evacuate", "vogar"), true);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar"), true);
         await fleet.killEntry(1);
         await fleet.run(fleet.startEntry(1));
         await fleet.killControl(fleet.queueOwner("ledger" as never));
@@ -109,8 +109,8 @@
         const fleet = await startFleet();
         const controls = [0, 1, 2, 3, 4].map(number => `10.0.0.${number + 1}`);
         fleet.fabric.isolate("10.0.1.2", [...controls, "10.0.1.1"], true);
-        assert.equal(await fleet.orderZone("zone.evacuate", "vogar"), true);
-        await fleet.pass(4_500);
+        assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar"), true);
+        await fleet.advance(4_500);
         const before = fleet.upstreams.flatMap(({ runs }) => runs).length;
         const reply = await fleet.call({ entry: 1, path: "/orders/1", key: KEY });
         assert.equal(reply.status, 503);
@@ -139,13 +139,13 @@
                     await fleet.run(fleet.startControl(holder));
                     continue;
                 }
-                while (!await fleet.orderZone(each.order.kind, each.order.zone, each.controlIndex)) {
-                    await fleet.pass(300);
+                while (!await fleet.submitZoneOrder(each.order.kind, each.order.zone, each.controlIndex)) {
+                    await fleet.advance(300);
                 }
                 if (each.order.kind === "zone.evacuate") expected.add(each.order.zone);
                 else expected.delete(each.order.zone);
             }
-            await fleet.pass(6_000);
+            await fleet.advance(6_000);
             assert.deepEqual(await readZones(fleet, 0), [...expected].sort());
             await fleet.close();
         });
--- a/src/entry/coldUpstreams/test.ts
+++ b/src/entry/coldUpstreams/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { RoutedFleet, RoutedLayout, TestReply } from "../../faultInjection/index.js";
+import { RoutedFleet, RoutedFleetOptions, TestReply } from "../../faultInjection/index.js";
 import { PoolId } from "../../ids/index.js";
 import { makeDocument, makeRoute } from "../../routing/index.js";
 
@@ -21,7 +21,7 @@
 describe("cold upstreams", () => {
     const fleet = { running: undefined as RoutedFleet | undefined };
 
-    async function startFleet(layout: Partial<RoutedLayout> = {}): Promise<RoutedFleet> {
+    async function startFleet(layout: Partial<RoutedFleetOptions> = {}): Promise<RoutedFleet> {
         const upstreams = Array.from({ length: 4 }, () => ({ slots: 24, workMs: 30, coldMs: 60_000 }));
         const started = new RoutedFleet({ entries: 4, upstreams, queueHosts: true, ...layout });
         fleet.running = started;
@@ -34,7 +34,7 @@
         const replies: Promise<TestReply>[] = [];
         for (let call = 0; call < seconds * perSecond; call++) {
             replies.push(running.startCall({ entry: call % 4, path: `/orders/${call}`, key: KEY }));
-            await running.pass(1_000 / perSecond);
+            await running.advance(1_000 / perSecond);
         }
         return replies;
     }
@@ -81,11 +81,11 @@
         // Upstreams that became cold while their zone was evacuated report it only with their next announcement.
         const upstreams = ["vogar", "keflavik"].map(zone => ({ zone, slots: 24, workMs: 400 }));
         const running = await startFleet({ upstreams });
-        assert.equal(await running.orderZone("zone.evacuate", "vogar"), true);
+        assert.equal(await running.submitZoneOrder("zone.evacuate", "vogar"), true);
         const replies = await sendLoad(running, 2, 50);
         assert.equal(running.upstreams[0].runs.length, 0);
         running.upstreams[0].becomeCold(3_000);
-        assert.equal(await running.orderZone("zone.restore", "vogar"), true);
+        assert.equal(await running.submitZoneOrder("zone.restore", "vogar"), true);
         replies.push(...await sendLoad(running, 2, 50));
         const { runs } = running.upstreams[0];
         assert.ok(runs.length > 0);
--- a/src/entry/crashingRequests/test.ts
+++ b/src/entry/crashingRequests/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { RoutedFleet, RoutedLayout, TestReply } from "../../faultInjection/index.js";
+import { RoutedFleet, RoutedFleetOptions, TestReply } from "../../faultInjection/index.js";
 import { CALL_HEADERS } from "../../passthrough/index.js";
 import { findHeader } from "../../ports/index.js";
 import { DraftDocument, makeDocument, makeRoute } from "../../routing/index.js";
@@ -23,7 +23,10 @@
 describe("a request that crashes every upstream that runs it", () => {
     const fleet = { running: undefined as RoutedFleet | undefined };
 
-    async function startFleet(layout: Partial<RoutedLayout> = {}, route: DraftDocument = {}): Promise<RoutedFleet> {
+    async function startFleet(
+        layout: Partial<RoutedFleetOptions> = {},
+        route: DraftDocument = {},
+    ): Promise<RoutedFleet> {
         const upstreams = Array.from({ length: UPSTREAMS }, () => UPSTREAM);
         const started = new RoutedFleet({ entries: ENTRIES, upstreams, queueHosts: true, ...layout });
         fleet.running = started;
@@ -36,7 +39,7 @@
         const replies: Promise<TestReply>[] = [];
         for (let round = 0; round < times; round++) {
             replies.push(running.startCall({ entry: round % ENTRIES, path: PATH, key: KEY, body: CRASHING }));
-            await running.pass(pauseMs);
+            await running.advance(pauseMs);
         }
         return running.run(Promise.all(replies));
     }
@@ -70,7 +73,7 @@
         const running = await startFleet();
         await repeat(running, 6, 700);
         await running.run(running.startEntry(ENTRIES));
-        await running.pass(3_000);
+        await running.advance(3_000);
         const sends = countSends(running);
         const reply = await running.call({ entry: ENTRIES, path: PATH, key: KEY, body: CRASHING });
         assert.equal(reply.status, 503);
@@ -83,7 +86,7 @@
     it("is refused permanently on a route whose calls are retried", async () => {
         // The router's own retries count too: each call of an idempotent route would otherwise crash two upstreams.
         const running = await startFleet({}, { kind: "idempotent", attempts: 2 });
-        await running.pass(RETRY_WARM_UP_MS);
+        await running.advance(RETRY_WARM_UP_MS);
         await repeat(running, 12, 700);
         assert.ok(listCrashes(running).length <= MAX_CRASHES + 1, `${listCrashes(running).length} crashes`);
         assert.equal(countLateSends(running), 0);
@@ -91,7 +94,7 @@
 
     it("gets 502 without a not-run header where it is quarantined between two attempts", async () => {
         const running = await startFleet({}, { kind: "idempotent", attempts: 5 });
-        await running.pass(RETRY_WARM_UP_MS);
+        await running.advance(RETRY_WARM_UP_MS);
         const reply = await running.call({ entry: 0, path: PATH, key: KEY, body: CRASHING });
         assert.equal(reply.status, 502);
         assert.equal(findHeader(reply.headers, CALL_HEADERS.notRun), undefined);
@@ -116,7 +119,7 @@
             const running = await startFleet();
             await repeat(running, 6, 700);
             await running.killControl(running.holder());
-            await running.pass(5_000);
+            await running.advance(5_000);
             const sends = countSends(running);
             await repeat(running, 8, 300);
             assert.equal(countSends(running), sends);
@@ -129,7 +132,7 @@
             for (let number = 0; number < ENTRIES; number++) await running.killEntry(number);
             for (let number = 0; number < 5; number++) await running.run(running.startControl(number));
             for (let number = 0; number < ENTRIES; number++) await running.run(running.startEntry(number));
-            await running.pass(3_000);
+            await running.advance(3_000);
             const sends = countSends(running);
             const replies = await repeat(running, 8, 300);
             assert.equal(countSends(running), sends);
@@ -142,7 +145,7 @@
         const running = await startFleet();
         await repeat(running, 2, 700);
         await running.killControl(running.holder());
-        await running.pass(3_000);
+        await running.advance(3_000);
         await repeat(running, 10, 700);
         assert.equal(countLateSends(running), 0);
         assert.ok(listCrashes(running).length <= MAX_CRASHES + 1, `${listCrashes(running).length} crashes`);
@@ -154,7 +157,7 @@
         for (let number = 0; number < 5; number++) await running.killControl(number);
         for (let round = 0; round < 8; round++) {
             await running.call({ entry: 0, path: PATH, body: CRASHING });
-            await running.pass(100);
+            await running.advance(100);
         }
         assert.equal(listCrashes(running).length, MAX_CRASHES);
     });
@@ -165,7 +168,7 @@
         const { quarantine } = running.controls[0]!.routing!;
         const [held] = (await running.run(quarantine.read())).unsafeCoerce();
         assert.equal((await running.run(quarantine.lift(held.fingerprint))).isRight(), true);
-        await running.pass(100);
+        await running.advance(100);
         const sends = countSends(running);
         await repeat(running, 1, 100);
         assert.equal(countSends(running), sends + 1);
@@ -182,7 +185,7 @@
         for (let round = 0; round < 6; round++) {
             const reply = await running.call({ entry: round % ENTRIES, path: PATH, key: KEY, body: CRASHING });
             assert.equal(reply.status, 502);
-            await running.pass(500);
+            await running.advance(500);
         }
         for (const upstream of running.upstreams) upstream.faults.length = 0;
         assert.equal((await running.call({ entry: 0, path: PATH, key: KEY, body: CRASHING })).status, 200);
@@ -197,10 +200,10 @@
         const popular = (entry: number) => running.startCall({ entry, path: PATH, key: KEY, body: "popular" });
         await running.run(Promise.all([0, 1, 2, 3].map(popular)));
         const broken = Array.from({ length: 16 }, (_, number) => popular(number % ENTRIES));
-        await running.pass(200);
+        await running.advance(200);
         for (const upstream of running.upstreams.slice(0, 3)) await upstream.crash();
         await running.run(Promise.all(broken));
-        await running.pass(1_000);
+        await running.advance(1_000);
         assert.equal((await running.call({ entry: 0, path: PATH, key: KEY, body: "popular" })).status, 200);
         await running.close();
     });
--- a/src/entry/limitedUpstreams/test.ts
+++ b/src/entry/limitedUpstreams/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { RoutedFleet, RoutedLayout, TestReply } from "../../faultInjection/index.js";
+import { RoutedFleet, RoutedFleetOptions, TestReply } from "../../faultInjection/index.js";
 import { PoolId } from "../../ids/index.js";
 import { CALL_HEADERS } from "../../passthrough/index.js";
 import { findHeader } from "../../ports/index.js";
@@ -17,7 +17,10 @@
 describe("an upstream that sets a request limit", () => {
     const fleet = { running: undefined as RoutedFleet | undefined };
 
-    async function startFleet(layout: Partial<RoutedLayout> = {}, route: DraftDocument = {}): Promise<RoutedFleet> {
+    async function startFleet(
+        layout: Partial<RoutedFleetOptions> = {},
+        route: DraftDocument = {},
+    ): Promise<RoutedFleet> {
         const upstreams = Array.from({ length: 3 }, () => ({ slots: 24, workMs: 200 }));
         const started = new RoutedFleet({ entries: 4, upstreams, queueHosts: true, ...layout });
         fleet.running = started;
@@ -36,7 +39,7 @@
         for (let call = 0; call < seconds * perSecond; call++) {
             const entry = entries[call % entries.length];
             replies.push(running.startCall({ entry, path: `/orders/${call}`, key: KEY }));
-            await running.pass(1_000 / perSecond);
+            await running.advance(1_000 / perSecond);
         }
         return replies;
     }
--- a/src/entry/routeService/test.ts
+++ b/src/entry/routeService/test.ts
@@ -1,6 +1,6 @@
 import assert from "node:assert/strict";
 import { afterEach, describe, it } from "node:test";
-import { RoutedFleet, RoutedLayout } from "../../faultInjection/index.js";
+import { RoutedFleet, RoutedFleetOptions } from "../../faultInjection/index.js";
 import { PoolId } from "../../ids/index.js";
 import { CALL_HEADERS } from "../../passthrough/index.js";
 import { findHeader, HeaderList } from "../../ports/index.js";
@@ -37,7 +37,7 @@
 describe("routed calls", () => {
     let fleet: RoutedFleet;
 
-    async function startFleet(layout: Partial<RoutedLayout> = {}): Promise<void> {
+    async function startFleet(layout: Partial<RoutedFleetOptions> = {}): Promise<void> {
         fleet = new RoutedFleet(layout);
         await fleet.start(makeDocument());
     }
@@ -86,13 +86,13 @@
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
             await fleet.killEntry(0);
             for (const number of [4, 3, 2]) await fleet.run(fleet.startControl(number));
-            await fleet.pass(200);
+            await fleet.advance(200);
             await fleet.run(fleet.startEntry(0));
-            await fleet.pass(6_000);
+            await fleet.advance(6_000);
             while (fleet.holder() < 3) {
                 await fleet.killControl(fleet.holder());
                 await fleet.run(fleet.startControl(2));
-                await fleet.pass(6_000);
+                await fleet.advance(6_000);
             }
             assert.equal((await fleet.call({ entry: 0, path: "/orders/1", key: KEY })).status, 200);
         });
@@ -129,7 +129,7 @@
         it("is refused immediately by an entry that had a document and has lost contact with control", async () => {
             await startFleet();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
-            await fleet.pass(10_000);
+            await fleet.advance(10_000);
             const reply = await fleet.call({ entry: 0, path: "/orders/1", key: KEY, headers: PATIENT });
             assert.equal(reply.status, 503);
             assert.ok(reply.tookMs < 50, `${reply.tookMs} ms`);
@@ -151,7 +151,7 @@
 
         it("goes to another upstream after a refusal", async () => {
             await startFleet();
-            await fleet.pass(10_000);
+            await fleet.advance(10_000);
             fleet.upstreams[0].faults.push("refuse");
             const replies = [0, 1].map(() => fleet.startCall({ entry: 0, path: "/orders/1", key: KEY }));
             const settled = await fleet.run(Promise.all(replies));
@@ -171,7 +171,7 @@
         for (const fault of ["lost", "error", "crossed"] as const) {
             it(`goes to another upstream after an answer that is ${fault}`, async () => {
                 await startFleet();
-                await fleet.pass(10_000);
+                await fleet.advance(10_000);
                 fleet.upstreams[0].faults.push(fault);
                 const replies = [0, 1].map(() => fleet.startCall({ entry: 0, path: "/status/1", key: KEY }));
                 const settled = await fleet.run(Promise.all(replies));
@@ -182,11 +182,13 @@
         it("is not reported as not run where its key is withdrawn between two attempts", async () => {
             // Otherwise the refusal would state that nothing ran, though the first upstream has run the call.
             await startFleet({ upstreams: [{ workMs: 400 }, { workMs: 400 }] });
-            await fleet.pass(10_000);
+            await fleet.advance(10_000);
             injectFault("lost");
             const pending = fleet.startCall({ entry: 0, path: "/status/1", key: KEY, request: "look" });
-            await fleet.pass(100);
-            await fleet.replace(makeDocument(2, { workspaces: [{ workspace: "butcher", keys: ["another-key"] }] }));
+            await fleet.advance(100);
+            await fleet.replaceDocument(
+                makeDocument(2, { workspaces: [{ workspace: "butcher", keys: ["another-key"] }] }),
+            );
             const reply = await fleet.run(pending);
             assert.equal(countRuns("look"), 1);
             assert.equal(reply.status, 502);
@@ -208,7 +210,7 @@
             // Failure: a caller receives half a summary twice, or one with a gap. The engine breaks off within an event, and the next one
             // resumes after the last event id that it was sent.
             await startFleet({ upstreams: STREAMS });
-            await fleet.pass(10_000);
+            await fleet.advance(10_000);
             injectFault("break");
             const reply = await fleet.call({ entry: 0, path: "/notes/1", key: KEY });
             assert.equal(reply.isWhole, false);
@@ -220,14 +222,14 @@
             // Failure: a caller takes half of a brief for the whole. An engine crashes while it streams, the engine that should resume
             // answers with an error, and the text of that error is appended to the stream, though the answer is not a stream.
             await startFleet({ upstreams: STREAMS });
-            await fleet.pass(10_000);
+            await fleet.advance(10_000);
             for (const [breaking, failing] of [[0, 1], [1, 0]]) {
                 fleet.upstreams[breaking].faults.push("break");
                 fleet.upstreams[failing].faults.push("error");
                 const reply = await fleet.call({ entry: 0, path: "/notes/1", key: KEY });
                 assert.equal(reply.isWhole, false);
                 assert.doesNotMatch(reply.body, /failed by/);
-                await fleet.pass(3_000);
+                await fleet.advance(3_000);
             }
         });
 
@@ -242,10 +244,10 @@
             await startFleet({ upstreams: [{ events: 1_000 }] });
             const leave = new AbortController();
             const pending = fleet.startCall({ entry: 0, path: "/sheets/1", key: KEY, signal: leave.signal });
-            await fleet.pass(200);
+            await fleet.advance(200);
             leave.abort();
             await fleet.run(pending);
-            await fleet.pass(300);
+            await fleet.advance(300);
             const next = await fleet.call({
                 entry: 0,
                 path: "/sheets/2",
@@ -272,7 +274,7 @@
                 const prefix = parts.map(({ id, tokens }) => `${id}:${tokens}`).join(",");
                 const headers: HeaderList = [[CALL_HEADERS.parts, prefix], [CALL_HEADERS.tokens, "9500,1"]];
                 const reply = await fleet.call({ entry: 0, path: "/status/1", key: KEY, headers });
-                assert.equal(fleet.signerOf(reply), "upstream-1");
+                assert.equal(fleet.upstreamOf(reply), "upstream-1");
             }
         });
     });
@@ -290,14 +292,14 @@
             const addressOf = (number: number): string => `10.0.1.${number + 1}`;
             const call = () => fleet.startCall({ entry: other, path: "/status/1", key: KEY });
             const calls = Array.from({ length: 4 }, call);
-            await fleet.pass(50);
+            await fleet.advance(50);
             fleet.fabric.isolate(addressOf(owner), [addressOf(other)], true);
             calls.push(call());
-            await fleet.pass(300);
+            await fleet.advance(300);
             fleet.fabric.isolate(addressOf(owner), [addressOf(other)], false);
             const replies = await fleet.run(Promise.all(calls));
             assert.deepEqual(replies.map(({ status }) => status), [200, 200, 200, 200, 200]);
-            await fleet.pass(3_000);
+            await fleet.advance(3_000);
             assert.equal(fleet.entries[owner]!.local.countRunning(POOL), 0);
         });
     });
@@ -317,8 +319,8 @@
             // does not learn of it, so it must stop accepting keys on its own.
             await startFleet();
             fleet.fabric.isolate("10.0.1.1", [1, 2, 3, 4, 5].map(number => `10.0.0.${number}`), true);
-            assert.equal(await fleet.replace(makeDocument(2, { workspaces: [] }), 1), true);
-            await fleet.pass(4_100);
+            assert.equal(await fleet.replaceDocument(makeDocument(2, { workspaces: [] }), 1), true);
+            await fleet.advance(4_100);
             assert.equal((await fleet.call({ entry: 0, path: "/orders/1", key: KEY })).status, 503);
             assert.equal((await fleet.call({ entry: 1, path: "/orders/1", key: KEY })).status, 401);
             assert.equal((await fleet.call({ entry: 0, path: "/open/1" })).status, 200);
@@ -334,7 +336,7 @@
             await fleet.killControl(4);
             for (let i = 0; i < 10; i++) {
                 const reply = await fleet.call({ entry: i % 2, path: "/status/1", key: KEY });
-                assert.equal(fleet.signerOf(reply), "upstream-1");
+                assert.equal(fleet.upstreamOf(reply), "upstream-1");
             }
         });
 
@@ -350,10 +352,10 @@
             const controls = [1, 2, 3, 4, 5].map(number => `10.0.0.${number}`);
             fleet.fabric.isolate(`10.0.1.${owner + 1}`, controls, true);
             assert.equal(await fleet.announce(0, "leaving"), true);
-            await fleet.pass(100);
+            await fleet.advance(100);
             for (let i = 0; i < 6; i++) {
                 const reply = await fleet.call({ entry: (owner + 1 + i % 2) % 3, path: "/orders/1", key: KEY });
-                assert.equal(fleet.signerOf(reply), "upstream-1");
+                assert.equal(fleet.upstreamOf(reply), "upstream-1");
             }
         });
 
@@ -410,11 +412,11 @@
             // All control processes are killed at once and restarted seconds later. Calls that need no key continue meanwhile, in one queue.
             await startOwned();
             for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
-            await fleet.pass(500);
+            await fleet.advance(500);
             for (const entry of [0, 1, 2]) assert.equal((await fleet.call({ ...OPEN, entry })).status, 200);
             assert.equal(fleet.queueOwner(POOL), -1);
             for (const number of [0, 1, 2, 3, 4]) await fleet.run(fleet.startControl(number));
-            await fleet.pass(6_000);
+            await fleet.advance(6_000);
             assert.ok(fleet.queueOwner(POOL) >= 0);
             assert.equal((await fleet.call({ ...OPEN, entry: 1 })).status, 200);
         });
--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -119,7 +119,7 @@
     while (fleet.clock.monotonic() < end) {
         const liveEntries = range(ENTRY_COUNT).filter(number => fleet.entries[number]);
         if (liveEntries.length > 0) sendCall(run, random.pick(liveEntries));
-        await fleet.pass(random.between(1, 2 * MEAN_CALL_INTERVAL_MS));
+        await fleet.advance(random.between(1, 2 * MEAN_CALL_INTERVAL_MS));
     }
 }
 
--- a/src/faultInjection/replicaFleet/index.ts
+++ b/src/faultInjection/replicaFleet/index.ts
@@ -15,7 +15,7 @@
 
 const PORT = 7000;
 /** Log timing with small segments and snapshot intervals, so that a short run rolls segments and sends snapshots. */
-export const FLEET_TIMING: LogTiming = {
+export const FLEET_LOG_TIMING: LogTiming = {
     ...DEFAULT_LOG_TIMING,
     snapshotEntries: 40,
     trailingEntries: 5,
@@ -28,17 +28,17 @@
 const CHECK_INTERVAL_MS = 20;
 
 /** One simulated host. Its disk survives its processes. */
-export interface FleetHost {
+export interface ReplicaHost {
     readonly name: HostId;
     readonly disk: MemoryDisk;
     /** Rate of the host's clock relative to virtual time. */
     readonly clockRate: number;
     /** The running control process; undefined while it is down. */
-    process: FleetProcess | undefined;
+    process: ReplicaProcess | undefined;
 }
 
 /** One run of a host's control process, from start to crash. */
-export interface FleetProcess {
+export interface ReplicaProcess {
     readonly host: MemoryHost;
     readonly log: ReplicatedLog;
     readonly recorder: RecordingStateMachine;
@@ -54,15 +54,15 @@
 export class ReplicaFleet {
     readonly clock = new VirtualClock();
     readonly fabric: MemoryFabric;
-    readonly hosts = new Map<string, FleetHost>();
+    readonly hosts = new Map<string, ReplicaHost>();
     /** Commands whose proposal succeeded. */
-    readonly acked = new Set<string>();
+    readonly acceptedCommands = new Set<string>();
     private readonly history = new History();
     /** Host that held the lease, by fencing token. */
     private readonly holderByToken = new Map<number, string>();
     private readonly bootstrapMembers: readonly BootstrapMember[];
     /** Highest index that each process has applied so far. */
-    private readonly lastApplied = new Map<FleetProcess, number>();
+    private readonly lastApplied = new Map<ReplicaProcess, number>();
     /** One-way latency, in milliseconds; a test may replace it. */
     latency: LatencyModel = () => Math.round(this.random.between(1, 4));
     /** Highest log index of an accepted command. */
@@ -71,14 +71,18 @@
     private violation: unknown;
     private nextCommandNumber = 1;
 
-    constructor(readonly random: Random, bootstrapHosts: readonly string[], private readonly timing = FLEET_TIMING) {
+    constructor(
+        readonly random: Random,
+        bootstrapHosts: readonly string[],
+        private readonly timing = FLEET_LOG_TIMING,
+    ) {
         this.fabric = new MemoryFabric(this.clock, (from, to) => this.latency(from, to));
         this.bootstrapMembers = bootstrapHosts.map(name => ({ host: name as HostId, address: addressOf(name) }));
         for (const name of bootstrapHosts) this.addHost(name);
     }
 
     /** Adds a host with an empty disk and no running process. */
-    addHost(name: string, clockRate = 1 + this.random.between(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)): FleetHost {
+    addHost(name: string, clockRate = 1 + this.random.between(-MAX_CLOCK_DRIFT, MAX_CLOCK_DRIFT)): ReplicaHost {
         const host = { name: name as HostId, disk: new MemoryDisk(this.clock), clockRate, process: undefined };
         this.hosts.set(name, host);
         return host;
@@ -133,38 +137,38 @@
         this.find(name).disk.wipe();
     }
 
-    find(name: string): FleetHost {
+    find(name: string): ReplicaHost {
         return this.hosts.get(name)!;
     }
 
     /** The running processes, including frozen ones. */
-    processes(): FleetProcess[] {
+    processes(): ReplicaProcess[] {
         return [...this.hosts.values()].flatMap(({ process }) => process ? [process] : []);
     }
 
     /** The host that holds the control lease. */
-    holder(): FleetHost | undefined {
+    holder(): ReplicaHost | undefined {
         return [...this.hosts.values()].find(({ process }) => process?.log.holdsLease());
     }
 
     /** Proposes a new command, and records it once it is accepted. */
-    propose(process: FleetProcess, padding = ""): void {
+    propose(process: ReplicaProcess, padding = ""): void {
         const command = `command-${this.nextCommandNumber++}${padding}`;
         void process.log.propose(command).then(result => result.ifRight(() => this.recordAccepted(command)));
     }
 
     /** Proposes a number of commands to the holder, and advances time until all are accepted. */
     async proposeMany(count: number, padding = ""): Promise<void> {
-        const wanted = this.acked.size + count;
+        const wanted = this.acceptedCommands.size + count;
         for (let done = 0; done < count; done++) this.propose(this.holder()!.process!, padding);
-        await this.passUntil(() => this.acked.size >= wanted);
+        await this.advanceUntil(() => this.acceptedCommands.size >= wanted);
     }
 
     /** Reconnects all links, thaws frozen processes and repairs slow or full disks. Stopped hosts stay down. */
     endFaults(): void {
         this.healAll();
         this.thawAll();
-        this.mendDisks();
+        this.repairDisks();
     }
 
     healAll(): void {
@@ -176,7 +180,7 @@
         for (const { host } of this.processes()) host.thaw();
     }
 
-    mendDisks(): void {
+    repairDisks(): void {
         for (const { disk } of this.hosts.values()) {
             disk.syncDurationMs = 0;
             disk.capacityBytes = Number.POSITIVE_INFINITY;
@@ -188,26 +192,26 @@
      * that they agree.
      */
     async converge(): Promise<void> {
-        await this.passUntil(() => this.isWhole());
+        await this.advanceUntil(() => this.hasFullMembership());
         await this.proposeUntilAccepted();
-        await this.passUntil(() => new Set(this.processes().map(({ log }) => log.appliedIndex())).size === 1);
-        this.checkAlike();
+        await this.advanceUntil(() => new Set(this.processes().map(({ log }) => log.appliedIndex())).size === 1);
+        this.checkReplicasAgree();
     }
 
     /** Proposes repeatedly, since a holder that was isolated until now may still step down and lose a proposal. */
     private async proposeUntilAccepted(): Promise<void> {
-        const before = this.acked.size;
+        const before = this.acceptedCommands.size;
         const end = this.clock.monotonic() + RECOVERY_TIMEOUT_MS;
-        while (this.acked.size === before) {
+        while (this.acceptedCommands.size === before) {
             if (this.clock.monotonic() >= end) throw new InvariantError("no command is accepted any more");
             const holder = this.holder();
             if (holder) this.propose(holder.process!);
-            await this.pass(1_000);
+            await this.advance(1_000);
         }
     }
 
     /** Advances virtual time, checking the invariants every `CHECK_INTERVAL_MS`. */
-    async pass(ms: number): Promise<void> {
+    async advance(ms: number): Promise<void> {
         const end = this.clock.monotonic() + ms;
         while (this.clock.monotonic() < end) {
             await this.clock.advance(Math.min(CHECK_INTERVAL_MS, end - this.clock.monotonic()));
@@ -216,16 +220,16 @@
     }
 
     /** Advances virtual time until the condition holds. */
-    async passUntil(condition: () => boolean, limitMs = RECOVERY_TIMEOUT_MS): Promise<void> {
+    async advanceUntil(condition: () => boolean, limitMs = RECOVERY_TIMEOUT_MS): Promise<void> {
         const end = this.clock.monotonic() + limitMs;
         while (!condition()) {
             if (this.clock.monotonic() >= end) throw new InvariantError(`no progress within ${limitMs} ms`);
-            await this.pass(CHECK_INTERVAL_MS);
+            await this.advance(CHECK_INTERVAL_MS);
         }
     }
 
     /** Whether the committed membership consists of exactly the hosts' current data folders, all of them voters. */
-    isWhole(): boolean {
+    hasFullMembership(): boolean {
         const members = this.holder()?.process?.log.committedConfiguration().members ?? [];
         const stores = [...this.hosts.values()].map(({ process }) => process?.log.storeId);
         return members.length === stores.length
@@ -233,14 +237,14 @@
     }
 
     /** Checks that all replicas applied the same sequence of commands, with each accepted command in it once. */
-    checkAlike(): void {
+    checkReplicasAgree(): void {
         const [first, ...others] = this.processes().map(({ recorder }) => recorder.commands);
         for (const other of others) {
             if (other.join() !== first.join()) throw new InvariantError("replicas applied different sequences");
         }
         const counts = new Map<string, number>();
         for (const command of first) counts.set(command, (counts.get(command) ?? 0) + 1);
-        for (const command of this.acked) {
+        for (const command of this.acceptedCommands) {
             const times = counts.get(command) ?? 0;
             if (times !== 1) throw new InvariantError(`${command} was accepted and is applied ${times} times`);
         }
@@ -264,7 +268,7 @@
     }
 
     private recordAccepted(command: string): void {
-        this.acked.add(command);
+        this.acceptedCommands.add(command);
         const index = this.history.indexOf(command);
         if (index === undefined) this.recordViolation(new InvariantError(`${command} is accepted and applied nowhere`));
         this.acceptedIndex = Math.max(this.acceptedIndex, index ?? 0) as LogIndex;
@@ -280,7 +284,7 @@
         }
     }
 
-    private checkFencingToken({ name, process }: FleetHost): void {
+    private checkFencingToken({ name, process }: ReplicaHost): void {
         const token = process!.log.fencingToken();
         const newest = Math.max(...this.holderByToken.keys());
         if (token < newest) throw new InvariantError(`token ${token} of ${name} is older than ${newest}`);
--- a/src/faultInjection/routedFleet/index.ts
+++ b/src/faultInjection/routedFleet/index.ts
@@ -31,7 +31,7 @@
 const START_TIMEOUT_MS = 30_000;
 
 /** Options of a `RoutedFleet`. */
-export interface RoutedLayout {
+export interface RoutedFleetOptions {
     readonly seed: number;
     /** Number of control processes. */
     readonly controls: number;
@@ -64,13 +64,13 @@
     readonly queues: (EntryProcess | undefined)[] = [];
     readonly disks: MemoryDisk[] = [];
     readonly upstreams: EmulatedCallUpstream[] = [];
-    readonly layout: RoutedLayout;
+    readonly layout: RoutedFleetOptions;
     private readonly random: SeededRandom;
     private readonly caller = new TestCaller(this.clock, this.web);
     private readonly announcementsAbort = new AbortController();
     private startCount = 0;
 
-    constructor(layout: Partial<RoutedLayout> = {}) {
+    constructor(layout: Partial<RoutedFleetOptions> = {}) {
         this.layout = { seed: 1, controls: 5, entries: 2, upstreams: [{}, {}], queueHosts: false, ...layout };
         this.random = new SeededRandom(this.layout.seed);
     }
@@ -86,13 +86,13 @@
             this.upstreams.push(await EmulatedCallUpstream.start(this.makeUpstreamOptions(number, options)));
         }
         void this.announcePeriodically();
-        await this.pass(3_000);
-        await this.replace(document);
-        await this.pass(500);
+        await this.advance(3_000);
+        await this.replaceDocument(document);
+        await this.advance(500);
     }
 
     /** Advances virtual time. */
-    pass(ms: number): Promise<void> {
+    advance(ms: number): Promise<void> {
         return this.clock.advance(ms);
     }
 
@@ -232,7 +232,7 @@
     }
 
     /** Replaces the fleet document through one control process. Returns whether it was accepted. */
-    async replace(document: unknown, through = 0): Promise<boolean> {
+    async replaceDocument(document: unknown, through = 0): Promise<boolean> {
         const { documents } = this.controls[through]!.routing!;
         const source = Buffer.from(JSON.stringify(document));
         const checked = checkDocument(document).unsafeCoerce();
@@ -241,7 +241,7 @@
     }
 
     /** Evacuates or restores a zone through one control process. Returns whether the order was accepted. */
-    async orderZone(kind: ZoneCommand["kind"], zone: string, through = 0): Promise<boolean> {
+    async submitZoneOrder(kind: ZoneCommand["kind"], zone: string, through = 0): Promise<boolean> {
         const { zones } = this.controls[through]!.routing!;
         const outcome = await this.run(zones.order({ kind, zone: zone as ZoneId }));
         return outcome.isRight();
@@ -258,7 +258,7 @@
     }
 
     /** Returns the id of the upstream that signed a response. */
-    signerOf({ headers }: TestReply): string | undefined {
+    upstreamOf({ headers }: TestReply): string | undefined {
         return findHeader(headers, CALL_HEADERS.signature)?.split("/")[0];
     }
 
--- a/src/faultInjection/schedule/index.ts
+++ b/src/faultInjection/schedule/index.ts
@@ -1,10 +1,10 @@
 import { SeededRandom } from "../../ports/index.js";
 import { StoreError } from "../../store/index.js";
 import { InvariantError } from "../recordingStateMachine/index.js";
-import { FleetHost, ReplicaFleet } from "../replicaFleet/index.js";
+import { ReplicaFleet, ReplicaHost } from "../replicaFleet/index.js";
 
 /** Result of one run. */
-export interface ScheduleReport {
+export interface ReplicaScheduleReport {
     readonly seed: number;
     readonly faults: number;
     /** Number of commands that the control log accepted. */
@@ -57,19 +57,22 @@
  * @example
  * const report = await runSchedule(42);
  */
-export async function runSchedule(seed: number, faultCount = DEFAULT_FAULT_COUNT): Promise<ScheduleReport> {
+export async function runReplicaSchedule(
+    seed: number,
+    faultCount = DEFAULT_FAULT_COUNT,
+): Promise<ReplicaScheduleReport> {
     const random = new SeededRandom(seed);
     const bootstrapHosts = random.next() < 0.7 ? THREE_BOOTSTRAP_HOSTS : FIVE_BOOTSTRAP_HOSTS;
     const run: ScheduleRun = { fleet: new ReplicaFleet(random, bootstrapHosts), random };
     const { fleet } = run;
     await fleet.startAll();
-    if (random.next() < 0.8) await fleet.passUntil(() => fleet.isWhole());
+    if (random.next() < 0.8) await fleet.advanceUntil(() => fleet.hasFullMembership());
     for (let step = 0; step < faultCount; step++) {
         await random.pick(WEIGHTED_FAULTS)(run);
         await advanceUnderLoad(run, random.between(50, 4_000));
     }
     await endFaultsAndConverge(run);
-    return { seed, faults: faultCount, accepted: fleet.acked.size, virtualMs: fleet.clock.monotonic() };
+    return { seed, faults: faultCount, accepted: fleet.acceptedCommands.size, virtualMs: fleet.clock.monotonic() };
 }
 
 async function endFaultsAndConverge({ fleet }: ScheduleRun): Promise<void> {
@@ -83,7 +86,7 @@
 async function advanceUnderLoad({ fleet, random }: ScheduleRun, ms: number): Promise<void> {
     const end = fleet.clock.monotonic() + ms;
     while (fleet.clock.monotonic() < end) {
-        await fleet.pass(random.between(5, 100));
+        await fleet.advance(random.between(5, 100));
         const up = fleet.processes().filter(({ host }) => !host.frozen);
         const target = random.next() < 0.8 ? fleet.holder()?.process : undefined;
         if (target && !target.host.frozen) fleet.propose(target);
@@ -91,7 +94,7 @@
     }
 }
 
-function pickRunningHost({ fleet, random }: ScheduleRun): FleetHost | undefined {
+function pickRunningHost({ fleet, random }: ScheduleRun): ReplicaHost | undefined {
     const up = [...fleet.hosts.values()].filter(({ process }) => process);
     const holder = fleet.holder();
     if (holder && random.next() < 0.5) return holder;
@@ -161,7 +164,7 @@
 }
 
 async function repairDisks({ fleet }: ScheduleRun): Promise<void> {
-    fleet.mendDisks();
+    fleet.repairDisks();
 }
 
 /**
@@ -172,14 +175,14 @@
     const { fleet, random } = run;
     fleet.endFaults();
     await advanceUnderLoad(run, 10_000);
-    if (!fleet.isWhole()) return;
+    if (!fleet.hasFullMembership()) return;
     const names = [...fleet.hosts.keys()];
     const first = random.next() < 0.5 ? fleet.holder()!.name : random.pick(names);
     if (random.next() < 0.3) await corruptLog(run, first);
     fleet.wipe(first);
     await advanceUnderLoad(run, random.between(0, 3_000));
     await fleet.start(first);
-    await fleet.passUntil(() => fleet.isWhole());
+    await fleet.advanceUntil(() => fleet.hasFullMembership());
     const second = random.pick(names.filter(name => name !== first));
     if (random.next() < 0.5) fleet.wipe(second);
     else fleet.crash(second, random.integer(0, MAX_TORN_BYTES));
@@ -206,7 +209,7 @@
         await fleet.start(EXTRA_HOST);
         return;
     }
-    if (!extra.process || !fleet.isWhole()) return;
+    if (!extra.process || !fleet.hasFullMembership()) return;
     const { storeId } = extra.process.log;
     const holder = fleet.holder()!.process!;
     if (holder.host.frozen || !holder.log.removeMember(storeId)) return;
@@ -219,7 +222,7 @@
     fleet.hosts.delete(EXTRA_HOST);
 }
 
-async function countUsedBytes({ disk }: FleetHost): Promise<number> {
+async function countUsedBytes({ disk }: ReplicaHost): Promise<number> {
     const paths = ["identity", "vote", "snapshot", ...(await disk.list("log")).map(name => `log/${name}`)];
     const files = await Promise.all(paths.map(path => disk.read(path)));
     return files.reduce((sum, bytes) => sum + (bytes?.length ?? 0), 0);
--- a/src/platform/controlPlane/test.ts
+++ b/src/platform/controlPlane/test.ts
@@ -59,7 +59,7 @@
     it("answers 503 when no majority can store the order", async () => {
         const running = await startFleet();
         for (const number of [1, 2, 3, 4]) await running.killControl(number);
-        await running.pass(3_000);
+        await running.advance(3_000);
         assert.equal(await post(running, "/evacuations/vogar/begin"), 503);
     });
 });
--- a/src/tools/soak/main.ts
+++ b/src/tools/soak/main.ts
@@ -3,7 +3,7 @@
  * `node dist/tools/soak/main.js --schedule calls --seeds 500 --from 1`.
  */
 import { cac } from "cac";
-import { runCallSchedule, runSchedule } from "../../faultInjection/index.js";
+import { runCallSchedule, runReplicaSchedule } from "../../faultInjection/index.js";
 
 interface SoakOptions {
     readonly schedule: string;
@@ -14,7 +14,7 @@
 /** Functions by schedule name that run one seed and return a one-line result. */
 const SCHEDULE_RUNNERS: Readonly<Record<string, (seed: number) => Promise<string>>> = {
     log: async seed => {
-        const { accepted, virtualMs } = await runSchedule(seed);
+        const { accepted, virtualMs } = await runReplicaSchedule(seed);
         return `${accepted} accepted in ${toSeconds(virtualMs)} s of virtual time`;
     },
     calls: async seed => {
