--- a/src/dispatch/admissionControl/index.ts
+++ b/src/dispatch/admissionControl/index.ts
@@ -2,7 +2,7 @@
 import { PoolMembers } from "../../upstream/index.js";
 import { AdmissionPolicy } from "../admissionPolicy/index.js";
 import { OrderPolicy } from "../order/index.js";
-import { PoolForecast } from "../outlook/index.js";
+import { PoolForecast } from "../poolForecast/index.js";
 import { Preempter } from "../preempter/index.js";
 import { Refusal, RefusalReason } from "../ticket/index.js";
 import { WaitingTicket } from "../waitingTicket/index.js";
--- a/src/dispatch/prospects/index.ts
+++ b/src/dispatch/forecastWaits/index.ts
@@ -1,5 +1,5 @@
 import { WorkspaceId } from "../../ids/index.js";
-import { PoolForecast } from "../outlook/index.js";
+import { PoolForecast } from "../poolForecast/index.js";
 import { WaitingTicket } from "../waitingTicket/index.js";
 
 /** The pool's state at the time of a forecast. */
--- a/src/dispatch/outlook/index.ts
+++ b/src/dispatch/poolForecast/index.ts
@@ -1,4 +1,4 @@
-import { ArrivalRates } from "../arrivals/index.js";
+import { ArrivalRates } from "../arrivalRates/index.js";
 import { Completion } from "../ticket/index.js";
 import { WaitingTicket } from "../waitingTicket/index.js";
 
--- a/src/dispatch/preempter/index.ts
+++ b/src/dispatch/preempter/index.ts
@@ -2,7 +2,7 @@
 import { Clock } from "../../ports/index.js";
 import { PoolMembers, UpstreamLoad } from "../../upstream/index.js";
 import { DispatchObserver } from "../dispatchObserver/index.js";
-import { PoolForecast } from "../outlook/index.js";
+import { PoolForecast } from "../poolForecast/index.js";
 import { PreemptionPolicy } from "../preemptionPolicy/index.js";
 import { RunningSet } from "../runningSet/index.js";
 import { WaitingTicket } from "../waitingTicket/index.js";
--- a/src/load/_lib/readError.ts
+++ b/src/load/_lib/parseErrorResult.ts
@@ -1,7 +1,7 @@
 import * as z from "zod";
 import { findHeader, HeaderList } from "../../ports/index.js";
 import { OUTCOME_HEADER, REQUEST_HEADER } from "../../protocol/index.js";
-import { AttemptResult } from "../outcome/index.js";
+import { AttemptResult } from "../requestResult/index.js";
 
 const MS_PER_SECOND = 1_000;
 
--- a/src/load/chatCall/index.ts
+++ b/src/load/callChat/index.ts
@@ -2,10 +2,10 @@
 import { answerSeed, answerToken, expectedAnswer } from "../../emulator/index.js";
 import { findHeader, HttpReply } from "../../ports/index.js";
 import { CALLER_PATHS, REQUEST_HEADER, STREAM_DONE } from "../../protocol/index.js";
-import { parseErrorResult, tryParseJson } from "../_lib/readError.js";
+import { parseErrorResult, tryParseJson } from "../_lib/parseErrorResult.js";
 import { CallContext, readText, sendCall } from "../_lib/sendCall.js";
-import { AttemptResult } from "../outcome/index.js";
 import { readEvents } from "../readEvents/index.js";
+import { AttemptResult } from "../requestResult/index.js";
 import { TraceChat } from "../trace/index.js";
 
 const chunkSchema = z.looseObject({
--- a/src/load/callService/index.ts
+++ b/src/load/callService/index.ts
@@ -2,9 +2,9 @@
 import { digestBody } from "../../emulator/index.js";
 import { findHeader } from "../../ports/index.js";
 import { CALLER_PATHS, IDEMPOTENCY_HEADER, REQUEST_HEADER } from "../../protocol/index.js";
-import { parseErrorResult, tryParseJson } from "../_lib/readError.js";
+import { parseErrorResult, tryParseJson } from "../_lib/parseErrorResult.js";
 import { CallContext, readText, sendCall } from "../_lib/sendCall.js";
-import { AttemptResult } from "../outcome/index.js";
+import { AttemptResult } from "../requestResult/index.js";
 import { TraceService } from "../trace/index.js";
 
 const confirmationSchema = z.looseObject({ confirmed: z.string(), run: z.int() });
--- a/src/load/caller/index.ts
+++ b/src/load/caller/index.ts
@@ -1,7 +1,7 @@
 import { Address, Clock, Http, Random } from "../../ports/index.js";
+import { callChat } from "../callChat/index.js";
 import { callService } from "../callService/index.js";
-import { callChat } from "../chatCall/index.js";
-import { AttemptResult, RequestResult, Verdict } from "../outcome/index.js";
+import { AttemptResult, RequestResult, Verdict } from "../requestResult/index.js";
 import { TraceRequest } from "../trace/index.js";
 
 /** Options of a caller: timeouts and repeated attempts. */
--- a/src/load/caller/test.ts
+++ b/src/load/caller/test.ts
@@ -11,7 +11,7 @@
     VirtualClock,
 } from "../../ports/index.js";
 import { ErrorBody, IDEMPOTENCY_HEADER, OUTCOME_HEADER } from "../../protocol/index.js";
-import { RequestResult } from "../outcome/index.js";
+import { RequestResult } from "../requestResult/index.js";
 import { TraceChat, TraceService } from "../trace/index.js";
 import { Caller, CallerConfig, DEFAULT_CALLER } from "./index.js";
 
--- a/src/load/crossCheck/index.ts
+++ b/src/load/crossCheck/index.ts
@@ -1,6 +1,6 @@
 import { CallRuns, ChatRuns, Runs } from "../../emulator/index.js";
 import { digestCall } from "../callService/index.js";
-import { RequestResult } from "../outcome/index.js";
+import { RequestResult } from "../requestResult/index.js";
 import { Trace, TraceRequest } from "../trace/index.js";
 
 /** Comparison of what the emulated upstreams ran with what callers were told. */
--- a/src/load/emulatorClient/index.ts
+++ b/src/load/emulatorClient/index.ts
@@ -1,6 +1,6 @@
 import { CONTROL_PATHS, ControlAction, Runs, runsSchema } from "../../emulator/index.js";
 import { Address, formatAddress, Http, HttpReply } from "../../ports/index.js";
-import { tryParseJson } from "../_lib/readError.js";
+import { tryParseJson } from "../_lib/parseErrorResult.js";
 import { readText } from "../_lib/sendCall.js";
 
 /** A request to the emulator that failed, was refused or got an invalid answer. */
--- a/src/load/measureEngines/index.ts
+++ b/src/load/measureEngines/index.ts
@@ -2,7 +2,7 @@
 import { expectedAnswer } from "../../emulator/index.js";
 import { Address, Clock, formatAddress, Http } from "../../ports/index.js";
 import { ENGINE_PATHS, STREAM_DONE } from "../../protocol/index.js";
-import { tryParseJson } from "../_lib/readError.js";
+import { tryParseJson } from "../_lib/parseErrorResult.js";
 import { computePercentiles, Percentiles } from "../computePercentiles/index.js";
 import { readEvents } from "../readEvents/index.js";
 
--- a/src/load/progress/index.ts
+++ b/src/load/progress/index.ts
@@ -1,5 +1,5 @@
 import { Clock } from "../../ports/index.js";
-import { RequestResult } from "../outcome/index.js";
+import { RequestResult } from "../requestResult/index.js";
 
 /** Writes text to the terminal. */
 export type LineWriter = (text: string) => void;
--- a/src/load/replayTrace/index.ts
+++ b/src/load/replayTrace/index.ts
@@ -1,6 +1,6 @@
 import { ControlAction } from "../../emulator/index.js";
 import { Caller, CallerConfig, CallerPorts } from "../caller/index.js";
-import { RequestResult } from "../outcome/index.js";
+import { RequestResult } from "../requestResult/index.js";
 import { Trace, TraceFault, TraceRequest } from "../trace/index.js";
 
 /** Options of a replay. */
--- a/src/load/summarizeReplay/index.ts
+++ b/src/load/summarizeReplay/index.ts
@@ -1,5 +1,5 @@
 import { computePercentiles, Percentiles } from "../computePercentiles/index.js";
-import { RequestResult, Verdict } from "../outcome/index.js";
+import { RequestResult, Verdict } from "../requestResult/index.js";
 import { Trace, TraceClass } from "../trace/index.js";
 
 /** Number of requests by verdict. */
--- a/src/load/summarizeReplay/test.ts
+++ b/src/load/summarizeReplay/test.ts
@@ -3,7 +3,7 @@
 import { SeededRandom } from "../../ports/index.js";
 import { formatReport } from "../formatReport/index.js";
 import { generateTrace } from "../generateTrace/index.js";
-import { RequestResult } from "../outcome/index.js";
+import { RequestResult } from "../requestResult/index.js";
 import { UTILITY_MORNING } from "../utilityPlan/index.js";
 import { summarizeReplay } from "./index.js";
 
--- a/src/routing/index.ts
+++ b/src/routing/index.ts
@@ -1,6 +1,6 @@
 /** The fleet document: routes, pools, limits, and workspaces with their keys. It is replaced as a whole, by version. */
 export * from "./checkDocument/index.js";
-export * from "./documentBook/index.js";
+export * from "./documentStore/index.js";
 export * from "./fixtures/index.js";
 export * from "./fleetDocument/index.js";
 export * from "./routeTable/index.js";
--- a/src/tools/account/formatAccount/index.ts
+++ b/src/tools/account/formatCallTable/index.ts
@@ -1,4 +1,4 @@
-import { CallStatistics } from "../sumCalls/index.js";
+import { CallStatistics } from "../summarizeCalls/index.js";
 
 const COLUMN_TITLES = [
     "from s",
--- a/src/tools/account/index.ts
+++ b/src/tools/account/index.ts
@@ -1,5 +1,5 @@
 /** Statistics of ended calls per time window and route, computed from the entries' logs. */
-export * from "./formatAccount/index.js";
+export * from "./formatCallTable/index.js";
 export * from "./parseCalls/index.js";
-export * from "./plotAccount/index.js";
-export * from "./sumCalls/index.js";
+export * from "./plotCalls/index.js";
+export * from "./summarizeCalls/index.js";
--- a/src/tools/account/plotAccount/index.ts
+++ b/src/tools/account/plotCalls/index.ts
@@ -1,4 +1,4 @@
-import { CallStatistics } from "../sumCalls/index.js";
+import { CallStatistics } from "../summarizeCalls/index.js";
 
 const WIDTH = 900;
 const PANEL_HEIGHT = 130;
--- a/src/tools/fleet/index.ts
+++ b/src/tools/fleet/index.ts
@@ -5,7 +5,7 @@
 import { CONTROL_PATHS } from "../../emulator/index.js";
 import { Address, parseAddress } from "../../ports/index.js";
 import { CALLER_PATHS } from "../../protocol/index.js";
-import { findFreePorts } from "../freePorts/index.js";
+import { findFreePorts } from "../findFreePorts/index.js";
 import { Program, waitFor } from "../processes/index.js";
 
 /** Options of a fleet of processes on loopback. */
--- a/src/tools/index.ts
+++ b/src/tools/index.ts
@@ -1,6 +1,6 @@
 /** Launchers of local processes, and helpers for tests that start separate processes. */
 export * from "./deployTrace/index.js";
+export * from "./findFreePorts/index.js";
 export * from "./fleet/index.js";
-export * from "./freePorts/index.js";
 export * from "./processes/index.js";
 export * from "./scratchFolder/index.js";
--- a/src/upstream/routedChoice/index.ts
+++ b/src/upstream/firstTokenPolicy/index.ts
@@ -1,13 +1,13 @@
 import { RequestId, UpstreamId } from "../../ids/index.js";
 import { pickLeast } from "../_lib/pickLeast/index.js";
-import { UpstreamLoad } from "../load/index.js";
+import { DEFAULT_FIRST_TOKEN_WEIGHTS, FirstTokenWeights } from "../firstTokenWeights/index.js";
 import { PartsPlacement } from "../partsPlacement/index.js";
 import { PauseForecast } from "../pauseForecast/index.js";
+import { PrefillLoad } from "../prefillLoad/index.js";
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
 import { PromptCache, PromptPart } from "../promptCache/index.js";
-import { PrefillLoad } from "../readingLoad/index.js";
-import { DEFAULT_FIRST_TOKEN_WEIGHTS, FirstTokenWeights } from "../routedWeights/index.js";
 import { Choice, PartsFetch, SelectionPolicy, SelectionRequest } from "../selectionPolicy/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 import { GrantedRequest, UpstreamWork } from "../upstreamWork/index.js";
 
 const BYTES_PER_KILOBYTE = 1_024;
--- a/src/upstream/routedChoice/test.ts
+++ b/src/upstream/firstTokenPolicy/test.ts
@@ -4,9 +4,9 @@
 import { SeededRandom } from "../../ports/index.js";
 import { pickLeast } from "../_lib/pickLeast/index.js";
 import { makeAnnouncement, pickExhaustively } from "../fixtures/index.js";
-import { UpstreamLoad } from "../load/index.js";
 import { SelectionRequest } from "../selectionPolicy/index.js";
 import { Upstream } from "../upstream/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 import { FirstTokenPolicy } from "./index.js";
 
 function makeLoads(ids: readonly string[]): UpstreamLoad[] {
--- a/src/upstream/partsPlacement/index.ts
+++ b/src/upstream/partsPlacement/index.ts
@@ -1,8 +1,8 @@
 import { crc32 } from "@node-rs/crc32";
 import { UpstreamId } from "../../ids/index.js";
-import { UpstreamLoad } from "../load/index.js";
 import { PromptCache, PromptPart } from "../promptCache/index.js";
 import { PartsFetch } from "../selectionPolicy/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 
 /** Below this number of tokens, recomputing is faster than fetching. */
 const MIN_FETCHED_TOKENS = 1_000;
--- a/src/upstream/pauseForecast/index.ts
+++ b/src/upstream/pauseForecast/index.ts
@@ -1,5 +1,5 @@
+import { PrefillPeriod } from "../prefillHistory/index.js";
 import { PrefillModel } from "../prefillModel/index.js";
-import { PrefillPeriod } from "../readingHistory/index.js";
 
 /**
  * Initial estimate of the prompt tokens that an engine prefills between two tokens of its streams: the default of
--- a/src/upstream/pauseForecast/test.ts
+++ b/src/upstream/pauseForecast/test.ts
@@ -1,7 +1,7 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
+import { PrefillPeriod } from "../prefillHistory/index.js";
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
-import { PrefillPeriod } from "../readingHistory/index.js";
 import { PauseForecast } from "./index.js";
 
 const EVENT_TOKENS = 3;
--- a/src/upstream/members/index.ts
+++ b/src/upstream/poolMembers/index.ts
@@ -1,7 +1,7 @@
 import { PoolId, UpstreamId } from "../../ids/index.js";
 import { Clock, Random } from "../../ports/index.js";
-import { UpstreamLoad } from "../load/index.js";
 import { Upstream } from "../upstream/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 import { UpstreamRegistry } from "../upstreamRegistry/index.js";
 
 /**
--- a/src/upstream/members/test.ts
+++ b/src/upstream/poolMembers/test.ts
@@ -3,7 +3,7 @@
 import { PoolId, ZoneId } from "../../ids/index.js";
 import { VirtualClock } from "../../ports/index.js";
 import { makeAnnouncement } from "../fixtures/index.js";
-import { UpstreamLoad } from "../load/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 import { UpstreamRegistry } from "../upstreamRegistry/index.js";
 import { PoolMembers } from "./index.js";
 
--- a/src/upstream/selectionPolicy/index.ts
+++ b/src/upstream/selectionPolicy/index.ts
@@ -1,9 +1,9 @@
 import { PoolId, RequestId, UpstreamId, ZoneId } from "../../ids/index.js";
 import { Random } from "../../ports/index.js";
-import { UpstreamLoad } from "../load/index.js";
 import { PrefixIndex } from "../prefixIndex/index.js";
 import { PromptPart } from "../promptCache/index.js";
-import { medianTokenMs } from "../stragglers/index.js";
+import { medianTokenMs } from "../stragglerPolicy/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 
 /** Properties of a request that the selection of an upstream depends on. */
 export interface SelectionRequest {
--- a/src/upstream/stragglers/index.ts
+++ b/src/upstream/stragglerPolicy/index.ts
@@ -1,4 +1,4 @@
-import { UpstreamLoad } from "../load/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 
 /** Thresholds for ejecting and readmitting stragglers. */
 export interface StragglerThresholds {
--- a/src/upstream/stragglers/test.ts
+++ b/src/upstream/stragglerPolicy/test.ts
@@ -1,8 +1,8 @@
 import assert from "node:assert/strict";
 import { describe, it } from "node:test";
 import { makeAnnouncement } from "../fixtures/index.js";
-import { UpstreamLoad } from "../load/index.js";
 import { Upstream } from "../upstream/index.js";
+import { UpstreamLoad } from "../upstreamLoad/index.js";
 import { MedianStragglerPolicy } from "./index.js";
 
 function makeLoads(paces: readonly number[]): UpstreamLoad[] {
--- a/src/upstream/upstreamWork/index.ts
+++ b/src/upstream/upstreamWork/index.ts
@@ -1,9 +1,9 @@
 import { UpstreamId } from "../../ids/index.js";
 import { MemoryDemand, MemoryUse } from "../memoryUse/index.js";
 import { PauseForecast } from "../pauseForecast/index.js";
-import { PendingPrefill, PrefillQueue } from "../prefillClock/index.js";
+import { PrefillHistory, PrefillPeriod } from "../prefillHistory/index.js";
 import { PrefillModel, PrefillWork } from "../prefillModel/index.js";
-import { PrefillHistory, PrefillPeriod } from "../readingHistory/index.js";
+import { PendingPrefill, PrefillQueue } from "../prefillQueue/index.js";
 import { SelectionRequest } from "../selectionPolicy/index.js";
 
 /**
