--- a/src/entry/entryProcess/index.ts
+++ b/src/entry/entryProcess/index.ts
@@ -354,7 +354,7 @@
             crashes: this.crashMonitor,
             time: this.trueTime,
             isDraining: () => this.draining,
-            levelNeeded: () => this.dispatcher.mayOwnQueues() ? "all" : "membership",
+            requiredLevel: () => this.dispatcher.mayOwnQueues() ? "all" : "membership",
         });
     }
 
--- a/src/entry/routeService/index.ts
+++ b/src/entry/routeService/index.ts
@@ -54,7 +54,7 @@
     readonly time: TrueTime;
     readonly isDraining: () => boolean;
     /** Returns the level of detail needed in announcements of upstreams. */
-    readonly levelNeeded: () => UpdateLevel;
+    readonly requiredLevel: () => UpdateLevel;
 }
 
 /**
