--- a/src/cli/operatorApi/index.ts
+++ b/src/cli/operatorApi/index.ts
@@ -29,7 +29,7 @@
  * is applied once and gets its first answer.
  *
  * @example
- * const orders = await api.ask(client => client.orders.query());
+ * const orders = await api.call(client => client.orders.query());
  */
 export class OperatorApi {
     private currentIndex = 0;
--- a/src/consensus/replicatedLog/index.ts
+++ b/src/consensus/replicatedLog/index.ts
@@ -114,7 +114,7 @@
         this.restartPause = new RestartPause(this.replica, this.links);
         this.snapshotter = new Snapshotter(this.replica);
         const member = { host: self.host, address: options.address };
-        const { bootstrap, mayBootstrap: mayBootstrap } = options;
+        const { bootstrap, mayBootstrap } = options;
         this.clusterBootstrap = new ClusterBootstrap(
             this.replica,
             this.links,
--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -142,8 +142,8 @@
         });
 
         it("is in force once the view of a partitioned entry is stale, and not before", async () => {
-            // Guards against a withdrawn key that is reported as in force and still works on a partitioned entry, if an entry that does not
-            // reply is disregarded.
+            // A withdrawn key must not be reported as withdrawn everywhere while it still works on a partitioned entry: the holder has to
+            // count an entry that does not reply.
             const fleet = await new Fleet().start();
             const { client, cache } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
@@ -170,7 +170,7 @@
         });
 
         it("never comes back from a deposed holder", async () => {
-            // Guards against a withdrawn key that works again for some seconds after a partition, if a deposed holder serves its old view
+            // Without this, a withdrawn key works again for some seconds after a partition, because a deposed holder serves its old view
             // without the lease or the entry applies a view of a lower revision.
             const fleet = await new Fleet().start();
             const { cache } = fleet.startEntry("e1");
@@ -233,8 +233,9 @@
 
     describe("the freshness lease", () => {
         it("is counted from the pull, not from the reply", async () => {
-            // Guards against an entry that accepts a withdrawn key after the change is reported as in force, if it counts the lease from the
-            // reply, which may arrive a second after the pull and later than the holder can know.
+            // The entry counts the lease from when it sent the pull. Counted from the reply, which may arrive a second later, the lease
+            // would end later than the holder can know, and the entry would accept a withdrawn key after the change is reported as in
+            // force.
             const clock = new VirtualClock();
             let asked = 0;
             const link = {
@@ -259,8 +260,8 @@
 
     describe("entries", () => {
         it("stay known to each other when the holder changes, except one that has gone", async () => {
-            // Guards against several queues of one pool, and so lower tiers that run first, after a change of the holder, if each entry
-            // applies a new holder's incomplete list and assumes that it is the only entry.
+            // A new holder's list of entries is incomplete at first. An entry that applied it would assume that it is the only one, so that
+            // one pool gets several queues and a lower tier runs first.
             const fleet = await new Fleet().start();
             const { client } = fleet.startEntry("e1");
             fleet.startEntry("e2");
@@ -318,8 +319,8 @@
 
     describe("an entry whose wall clock was set forward", () => {
         it("is fresh again long before its waiting pull ends", async () => {
-            // Guards against calls that are refused for two seconds when a time service corrects the clock: the jump looks like sleep and makes
-            // the view stale, and the pending pull waits for a change before anything renews the view.
+            // Without a new pull, calls are refused for two seconds whenever a time service corrects the clock: the jump looks like sleep
+            // and makes the view stale, and the pending pull waits for a change before anything renews the view.
             const fleet = await new Fleet().start();
             const { client } = fleet.startEntry("e1");
             await fleet.clock.advance(1_000);
--- a/src/control/controlProcess/test.ts
+++ b/src/control/controlProcess/test.ts
@@ -313,8 +313,9 @@
 
 describe("ControlProcess", () => {
     describe("cuts, freezes, crashes of the holder and of others", () => {
-        // Guards against windows reported with two different sums, lost or doubled usage, calls made twice and withdrawn keys that still
-        // work. These show only when hosts fail in the middle of an operation, if an answer is taken for an effect or vice versa.
+        // Whatever hosts fail in the middle of an operation, no window may be reported with two different sums, no usage lost or counted
+        // twice, no call made twice, and no withdrawn key may still work. Such faults arise where an answer is taken for an effect or vice
+        // versa.
         for (let seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
             it(`keep usage, calls, keys and reports right (seed ${seed})`, async () => {
                 const fleet = await runSeed(seed);
--- a/src/control/controlState/test.ts
+++ b/src/control/controlState/test.ts
@@ -88,7 +88,8 @@
 
     describe("entryVersionOf", () => {
         it("prevents replicas of the previous version from skipping zone commands, and no other commands", () => {
-            // Guards against replicas that diverge permanently: one of the previous version skips an evacuation during an upgrade.
+            // During an upgrade a replica of the previous version would skip an evacuation, and the replicas would diverge permanently. The
+            // higher entry version keeps it from applying the entry.
             const state = new ControlState();
             for (const command of COMMANDS) {
                 const isNew = command.kind.startsWith("zone.");
--- a/src/control/demandTable/test.ts
+++ b/src/control/demandTable/test.ts
@@ -20,8 +20,8 @@
         assert.deepEqual(table.listFresh(), [makeReport("draft", 5), makeReport("orders", 2)]);
     });
 
-    // Guards against upstreams that are released because of a report that is minutes old: the owner of a pool's queue is partitioned from
-    // the holder while the load rises.
+    // If a report counted until a newer one arrives, upstreams would be released because of one that is minutes old, when the owner of a
+    // pool's queue is partitioned from the holder while the load rises.
     it("drops outdated reports", async () => {
         const clock = new VirtualClock();
         const table = new DemandTable(clock);
--- a/src/control/documentService/test.ts
+++ b/src/control/documentService/test.ts
@@ -30,7 +30,8 @@
     });
 
     it("is not read by a partitioned host", async () => {
-        // Guards against an operator reading an outdated document from a host that was partitioned while a new one was accepted.
+        // The partitioned host's own copy looks valid, so an operator who asks this host would read an outdated document after the others
+        // have accepted a new one.
         const fleet = await startFleet();
         const others = [1, 2, 3, 4].map(number => `10.0.0.${number}`);
         fleet.fabric.isolate("10.0.0.5", others, true);
@@ -42,8 +43,8 @@
     });
 
     it("survives the loss of two disks right after its acknowledgement, while all others lose power", async () => {
-        // Guards against an acknowledged document that is lost: two hosts come back with empty disks and the rest after a power cut. A
-        // majority of those two and of one that had not received the document would restore the old one.
+        // An acknowledged document could be lost when two hosts come back with empty disks and the rest after a power cut: a majority of
+        // those two and of one that had not received the document would restore the old one.
         const fleet = await startFleet();
         assert.equal(await fleet.replaceDocument(makeDocument({ version: 2 }), 1), true);
         for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
@@ -70,8 +71,8 @@
     });
 
     it("keeps its voters when hosts are replaced by new ones under other names", async () => {
-        // Guards against voters that are never removed: when control hosts are replaced by empty ones at other addresses and the old ones
-        // still count as voters, most of the voters are gone at some point and no change can be committed.
+        // Control hosts are replaced by empty ones at other addresses. If the old ones still counted as voters, most voters would be gone
+        // at some point and no change could be committed.
         const fleet = await startFleet();
         await fleet.killControl(4);
         fleet.disks.push(fleet.makeDisk());
--- a/src/control/holderRunner/test.ts
+++ b/src/control/holderRunner/test.ts
@@ -130,8 +130,8 @@
         });
 
         it("reports the same sums after a takeover with a lost reply and late usage", async () => {
-            // Guards against two different sums for one window: the holder is partitioned before the reply to its report arrives, late usage is
-            // counted, and the next holder's report would include it if sums were computed at the time of sending.
+            // One window must not be reported with two different sums: the holder is partitioned before the reply to its report arrives and
+            // late usage is counted. The next holder's report would include it if sums were computed at the time of sending.
             const controls = await new ControlPair(checksFence).start();
             const { clock, group, platform } = controls;
             const window = clock.now();
@@ -154,8 +154,8 @@
 
         for (const healMs of [2_000, 60_000]) {
             it(`delivers nothing from an isolated holder once it was deposed, healed after ${healMs} ms`, async () => {
-                // Guards against obsolete orders that reach the platform minutes after a partition heals: the isolated host's kernel keeps
-                // retransmitting what was written to a connection that is closed instead of reset.
+                // Obsolete orders would reach the platform minutes after a partition heals if the connection were closed instead of reset:
+                // the isolated host's kernel keeps retransmitting what was written to it.
                 const controls = await new ControlPair(checksFence).start();
                 const { clock, fabric, group, platform } = controls;
                 await clock.advance(10_000);
@@ -189,8 +189,8 @@
         });
 
         it("waits for the maximum delivery time of the old holder before the new holder's first send", async () => {
-            // Guards against a message that the old holder sent just before its lease ended and that arrives after the new holder's first
-            // report. Only a receiver that checks fencing tokens can refuse it.
+            // A message that the old holder sent just before its lease ended can arrive after the new holder's first report. Only a
+            // receiver that checks fencing tokens can refuse it.
             const controls = await new ControlPair(checksFence).start();
             const { clock, group, platform } = controls;
             await clock.advance(10_000);
@@ -226,8 +226,8 @@
 
 describe("PurchaseRunner", () => {
     it("does not order twice when the confirmation of the commit was lost", async () => {
-        // Guards against upstreams that are started and paid for twice: the commit of an intent is not confirmed, the policy runs again, and
-        // then both intents are committed.
+        // Upstreams would be started and paid for twice if the policy ran again before the last intent is settled: the commit is not
+        // confirmed, and then both intents are committed.
         class BuyOnce extends ProvisioningPolicy {
             async plan(
                 { openOrders, finishedOrders }: { openOrders: readonly unknown[]; finishedOrders: readonly unknown[]; },
--- a/src/control/poolSizer/test.ts
+++ b/src/control/poolSizer/test.ts
@@ -73,8 +73,8 @@
 
 describe("PoolSizer", () => {
     it("orders nothing during its observation period, so that it plans for all upstreams and not for the first two", async () => {
-        // Guards against two engines in place of eight at the first request: engines announce themselves one by one, and a holder that plans
-        // only for those known so far releases the others.
+        // Engines announce themselves one by one. A holder that plans only for those known so far releases the others, and the first
+        // request finds two engines in place of eight.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         await run(2_000);
@@ -88,9 +88,9 @@
     });
 
     it("plans for upstreams that announce themselves only after three seconds", async () => {
-        // Guards against one remaining engine per zone at the first request, which leaves short questions unanswered for eight seconds. When all
-        // processes have just started, most engines reach a control process only with their third announcement; a shorter observation
-        // period would take the few known engines for all.
+        // When all processes have just started, most engines reach a control process only with their third announcement. With a shorter
+        // observation period the holder would take the few known engines for all and leave one per zone, and short questions would get no
+        // answer for eight seconds.
         const { platform, announce, run } = makeSizer();
         announce("keflavik-0", "keflavik", false);
         await run(3_000);
@@ -102,7 +102,8 @@
     });
 
     it("orders reclaimable ones at once where nobody can have ordered any, and releases nothing during its observation period", async () => {
-        // Guards against reclaimable engines that are ordered four seconds late on the first start, while steady ones are paid for until then.
+        // On the first start steady engines are paid for until the reclaimable ones take over, so the reclaimable ones must not be ordered
+        // four seconds late.
         const { platform, announce, run } = makeSizer(1);
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         await run(1_000);
@@ -126,8 +127,8 @@
     });
 
     it("resends an order whose upstreams are missing", async () => {
-        // Guards against a steady engine that is paid for all day: a zone may have four upstreams of both kinds together, so of three
-        // reclaimable ones two start beside two steady ones, and when a steady one has stopped, the third must be ordered again.
+        // A zone may have four upstreams of both kinds together, so of three reclaimable ones two start beside two steady ones. When a
+        // steady one has stopped, the third must be ordered again: otherwise the last steady one is paid for all day.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) announce(`${zone}-0`, zone, false);
         await run(6_000, 0.5);
@@ -140,8 +141,8 @@
     });
 
     it("orders again at once when reclaimable ones are about to leave, so that steady ones come in time", async () => {
-        // Guards against callers that wait for seconds when the platform reclaims a zone's engines at short notice and has no others, if the
-        // holder orders steady ones only after the start time of new engines has passed.
+        // The platform reclaims a zone's engines at short notice and has no others. If the holder ordered steady ones only after the start
+        // time of new engines has passed, callers would wait for seconds.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) {
             for (const number of [0, 1, 2]) announce(`${zone}-${number}`, zone, true);
@@ -170,7 +171,7 @@
     });
 
     it("orders whole numbers after orders that got no reply", async () => {
-        // Guards against a pool that keeps its size forever after the platform failed to reply: an order without a number is refused each time.
+        // An order without a number is refused each time, so after a missing reply from the platform the pool would keep its size forever.
         const { platform, announce, run } = makeSizer();
         for (const zone of ZONES) {
             announce(`${zone}-steady`, zone, false);
--- a/src/control/startsRecorder/test.ts
+++ b/src/control/startsRecorder/test.ts
@@ -13,7 +13,7 @@
     afterEach(() => fleet.running?.close());
 
     it("survive a power loss of all hosts in the middle of their window", async () => {
-        // Guards against an incomplete window: its counts were only in the memory of processes that are all gone.
+        // Counts that are only in the memory of processes are lost when all of these stop, and the window would be reported incomplete.
         const running = new RoutedFleet({ entries: 2, upstreams: [{}], queueHosts: true });
         fleet.running = running;
         await running.start(makeDocument());
--- a/src/control/startsTable/test.ts
+++ b/src/control/startsTable/test.ts
@@ -94,7 +94,8 @@
     });
 
     it("wait for a partitioned entry for as long as their report can still be in time", async () => {
-        // Guards against incomplete windows when an entry is partitioned for ten seconds but comes back before the report is due.
+        // The window would be incomplete if the counts of an entry that was partitioned for ten seconds were left out, although it comes
+        // back before the report is due.
         const { clock, platform, report, run } = await makeTable(computeMaxReportWaitMs(DUE_MS));
         report("entry-1", 3);
         report("entry-2", 4);
@@ -115,7 +116,8 @@
     });
 
     it("do not wait for a run of an entry that another run has replaced, and keep its counts", async () => {
-        // Guards against windows that are closed at the last moment during a rolling restart of entries, so that any platform fault makes them late.
+        // If a rolling restart of entries delayed the closing of windows to the last moment, any fault of the platform would make their
+        // reports late.
         const { platform, report, run, firstWindow } = await makeTable();
         report("entry-1", 3);
         await run(7_000, () => report("entry-1", 4, firstWindow, { incarnation: "2" }));
@@ -147,7 +149,7 @@
     });
 
     it("keep what was counted when all processes are killed in the middle of them", async () => {
-        // Guards against an incomplete window: its counts were only in the memory of processes that are all gone.
+        // Counts that are only in the memory of processes are lost when all of these stop, and the window would be reported incomplete.
         const { clock, state, table, log, report, firstWindow, time } = await makeTable();
         const term = { token: 1 as FencingToken, mayAct: () => true } as unknown as HolderTerm;
         report("entry-1", 3);
@@ -172,11 +174,11 @@
     it("are not counted twice by a holder that has received counts already recorded in the log", async () => {
         const { clock, state, table, log, report, time } = await makeTable();
         const term = { token: 1 as FencingToken, mayAct: () => true } as unknown as HolderTerm;
-        const noter = new StartsRecorder({ log, state, table, logger: new SilentLogger() });
+        const recorder = new StartsRecorder({ log, state, table, logger: new SilentLogger() });
         report("entry-1", 3);
-        await noter.step(term);
+        await recorder.step(term);
         report("entry-1", 5);
-        await noter.step(term);
+        await recorder.step(term);
         const parts = { log, state, table, time, logger: new SilentLogger() };
         await clock.advance(12_000);
         await new StartsWindowCloser({ ...parts, windowMs: WINDOW_MS, maxReportWaitMs: 6_000 }).step(term);
@@ -197,7 +199,7 @@
     });
 
     it("are dropped once closed, also on processes that close none", async () => {
-        // Guards against memory that grows forever at control processes that never hold the lease.
+        // Control processes that never hold the lease must also drop old windows, or their memory grows forever.
         const { clock, table, report, firstWindow } = await makeTable();
         for (let window = firstWindow; window < firstWindow + 100; window++) {
             report("entry-1", 3, window);
--- a/src/control/zoneEvacuation/test.ts
+++ b/src/control/zoneEvacuation/test.ts
@@ -80,7 +80,7 @@
     });
 
     it("survives the loss of two disks right after its acknowledgement, while all others lose power", async () => {
-        // Guards against an acknowledged evacuation that is lost to a majority of empty and outdated disks.
+        // A majority of empty and outdated disks must not lose an acknowledged evacuation.
         const fleet = await startFleet();
         assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar", 1), true);
         for (const number of [0, 1, 2, 3, 4]) await fleet.killControl(number);
@@ -95,7 +95,7 @@
     });
 
     it("binds an entry that restarts, and a new owner of the queue", async () => {
-        // Guards against a new process that sends to an evacuated zone before it has received the order.
+        // A new process must not send to an evacuated zone before it has received the order.
         const fleet = await startFleet();
         assert.equal(await fleet.submitZoneOrder("zone.evacuate", "vogar"), true);
         await fleet.killEntry(1);
@@ -105,7 +105,7 @@
     });
 
     it("stops keyed calls at a partitioned entry once its view is stale", async () => {
-        // Guards against an entry that is partitioned from the control processes and keeps sending to the zone.
+        // An entry that is partitioned from the control processes must not keep sending to the zone.
         const fleet = await startFleet();
         const controls = [0, 1, 2, 3, 4].map(number => `10.0.0.${number + 1}`);
         fleet.fabric.isolate("10.0.1.2", [...controls, "10.0.1.1"], true);
@@ -118,7 +118,7 @@
     });
 
     it("follows the last acknowledged order over any series of orders, kills and changes of the holder", async () => {
-        // Guards against an order that is lost, or that takes effect again after its reversal.
+        // An order must not be lost, nor take effect again after its reversal.
         const order = fc.record({
             kind: fc.constantFrom<ZoneCommand["kind"]>("zone.evacuate", "zone.restore"),
             zone: fc.constantFrom("vogar", "keflavik"),
--- a/src/faultInjection/replicaFleet/index.ts
+++ b/src/faultInjection/replicaFleet/index.ts
@@ -100,7 +100,7 @@
         const router = new PeerRouter();
         const self = { host: name as HostId, incarnation: String(this.clock.monotonic()) as Incarnation };
         const { clock, network } = host;
-        const isBootstrapMember = this.bootstrapMembers.some(founder => founder.host === name);
+        const isBootstrapMember = this.bootstrapMembers.some(bootstrapMember => bootstrapMember.host === name);
         const address = addressOf(name, port);
         const member = { host: name as HostId, address };
         const log = await ReplicatedLog.open({
--- a/src/features/steps/purchases.ts
+++ b/src/features/steps/purchases.ts
@@ -45,10 +45,10 @@
             purchases: { cover: { holdMs: 15_000 }, forecast: { peakHalfLifeMs: 10_000, startMs: 5_000 } },
         });
         this.requestsAtStop = [];
-        const { emulator: standIns } = this.fleet;
-        const stop = standIns.stop.bind(standIns);
-        standIns.stop = (id: string) => {
-            const stats = standIns.engines.get(id)?.stats();
+        const { emulator } = this.fleet;
+        const stop = emulator.stop.bind(emulator);
+        emulator.stop = (id: string) => {
+            const stats = emulator.engines.get(id)?.stats();
             this.requestsAtStop.push((stats?.running ?? 0) + (stats?.queued ?? 0));
             return stop(id);
         };
--- a/src/usage/spendLedger/test.ts
+++ b/src/usage/spendLedger/test.ts
@@ -26,17 +26,17 @@
                 fc.boolean(),
             ));
             const check = (asks: [string, number, number, boolean][]): void => {
-                let book = new SpendLedger();
+                let ledger = new SpendLedger();
                 const granted = new Map<string, number>();
                 for (const [host, sequence, tokens, restarts] of asks) {
-                    const answer = book.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
+                    const answer = ledger.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
                     const name = `${host} ${sequence}`;
                     assert.equal(granted.get(name) ?? answer, answer);
                     granted.set(name, answer);
                     if (restarts) {
-                        const snapshot = book.snapshot();
-                        book = new SpendLedger();
-                        book.restore(snapshot);
+                        const snapshot = ledger.snapshot();
+                        ledger = new SpendLedger();
+                        ledger.restore(snapshot);
                     }
                 }
                 assert.ok([...granted.values()].reduce((sum, each) => sum + each, 0) <= 100);
@@ -47,22 +47,22 @@
         it("grants nothing in a window that is closed", () => {
             // Prevents a limit spent twice in one window: the window is closed while an entry still uses it, the sums are
             // dropped, and the entry's next request would get the whole limit again.
-            let book = new SpendLedger();
-            assert.equal(book.reserve(makeReserve("a", 1, 100), 100, CONTEXT).granted, 100);
-            book.closeWindows(WINDOW);
-            const snapshot = book.snapshot();
-            book = new SpendLedger();
-            book.restore(snapshot);
-            assert.equal(book.reserve(makeReserve("a", 2, 100), 100, CONTEXT).granted, 0);
+            let ledger = new SpendLedger();
+            assert.equal(ledger.reserve(makeReserve("a", 1, 100), 100, CONTEXT).granted, 100);
+            ledger.closeWindows(WINDOW);
+            const snapshot = ledger.snapshot();
+            ledger = new SpendLedger();
+            ledger.restore(snapshot);
+            assert.equal(ledger.reserve(makeReserve("a", 2, 100), 100, CONTEXT).granted, 0);
         });
 
         it("grants nothing to a request so old that its result is no longer kept", () => {
-            const book = new SpendLedger();
+            const ledger = new SpendLedger();
             for (let sequence = 1; sequence <= 2_000; sequence++) {
-                book.reserve(makeReserve("a", sequence, 1), undefined, CONTEXT);
+                ledger.reserve(makeReserve("a", sequence, 1), undefined, CONTEXT);
             }
-            assert.equal(book.reserve(makeReserve("a", 1, 1), undefined, CONTEXT).granted, 0);
-            assert.equal(book.reserved(WINDOW, WORKSPACE), 2_000);
+            assert.equal(ledger.reserve(makeReserve("a", 1, 1), undefined, CONTEXT).granted, 0);
+            assert.equal(ledger.reserved(WINDOW, WORKSPACE), 2_000);
         });
     });
 });
