--- a/src/consensus/leadership/index.ts
+++ b/src/consensus/leadership/index.ts
@@ -26,7 +26,7 @@
     private readonly lifecycle = new Lifecycle();
     private readonly replicators = new Map<StoreId, Replicator>();
     private readonly pendingProposals = new Map<LogIndex, (result: ProposeResult) => void>();
-    /** Start of the leadership (`Clock.elapsed`). */
+    /** Start of the leadership (`Clock.monotonicWithSuspend`). */
     readonly startedAt: number;
     private termStartIndex = 0 as LogIndex;
     private hasEnded = false;
@@ -62,7 +62,7 @@
         return this.termStartIndex > 0 && this.replica.appliedIndex >= this.termStartIndex;
     }
 
-    /** Returns the time (`Clock.elapsed`) until which a majority has promised to elect no other leader. */
+    /** Returns the time (`Clock.monotonicWithSuspend`) until which a majority has promised to elect no other leader. */
     leaseUntil(): number {
         return this.quorumContactAt() + leaderLeaseMs(this.replica.timing);
     }
--- a/src/consensus/replicator/index.ts
+++ b/src/consensus/replicator/index.ts
@@ -63,7 +63,7 @@
         return this.matchedIndex;
     }
 
-    /** Time (`Clock.elapsed`) at which the newest heartbeat that the peer answered was sent. */
+    /** Time (`Clock.monotonicWithSuspend`) at which the newest heartbeat that the peer answered was sent. */
     get contactAt(): number {
         return this.lastContactAt;
     }
--- a/src/control/controlClient/index.ts
+++ b/src/control/controlClient/index.ts
@@ -57,7 +57,7 @@
 /**
  * An entry's client of the control hosts: a task that keeps the view fresh, and commands to the holder of the lease.
  *
- * Prevents the use of an outdated view: the freshness lease is counted by `Clock.elapsed` from when the pull was sent, so an entry that was
+ * Prevents the use of an outdated view: the freshness lease is counted by `Clock.monotonicWithSuspend` from when the pull was sent, so an entry that was
  * partitioned, frozen or suspended finds its view stale no later than the holder does.
  *
  * @example
@@ -66,7 +66,7 @@
  */
 export class ControlClient {
     private linkIndex = 0;
-    /** Time by `Clock.elapsed` at which the freshness lease ends, in milliseconds. */
+    /** Time by `Clock.monotonicWithSuspend` at which the freshness lease ends, in milliseconds. */
     private freshUntil = -Infinity;
     private draining = false;
     private entryList: readonly EntryView[] = [];
--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -142,8 +142,8 @@
         });
 
         it("is in force once the view of a partitioned entry is stale, and not before", async () => {
-            // A withdrawn key must not be reported as withdrawn everywhere while it still works on a partitioned entry: the holder has to
-            // count an entry that does not reply.
+            // The holder must wait for an entry that does not reply: otherwise it would report the withdrawal as in force while the key still
+            // works on that partitioned entry.
             const fleet = await new Fleet().start();
             const { client, cache } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
@@ -157,7 +157,7 @@
         });
 
         it("is not reported as in force by a new holder that does not know an entry yet", async () => {
-            // The same fault after a change of the holder: the new holder knows no entries and would report every change as in force.
+            // The same fault after a change of the holder: the new holder knows no entries yet and would report every change as in force.
             const fleet = await new Fleet().start();
             const { client } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
--- a/src/control/controlProcess/test.ts
+++ b/src/control/controlProcess/test.ts
@@ -314,8 +314,8 @@
 describe("ControlProcess", () => {
     describe("cuts, freezes, crashes of the holder and of others", () => {
         // Whatever hosts fail in the middle of an operation, no window may be reported with two different sums, no usage lost or counted
-        // twice, no call made twice, and no withdrawn key may still work. Such faults arise where an answer is taken for an effect or vice
-        // versa.
+        // twice, no call made twice, and no withdrawn key may still work. Such faults arise where code takes an
+        // answer for proof of an effect, or a missing answer for proof of none.
         for (let seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++) {
             it(`keep usage, calls, keys and reports right (seed ${seed})`, async () => {
                 const fleet = await runSeed(seed);
--- a/src/control/controlState/test.ts
+++ b/src/control/controlState/test.ts
@@ -88,8 +88,8 @@
 
     describe("entryVersionOf", () => {
         it("prevents replicas of the previous version from skipping zone commands, and no other commands", () => {
-            // During an upgrade a replica of the previous version would skip an evacuation, and the replicas would diverge permanently. The
-            // higher entry version keeps it from applying the entry.
+            // During an upgrade a replica of the previous version would skip an evacuation, and the replicas would diverge permanently.
+            // Because of the entry's higher version the replica stops instead.
             const state = new ControlState();
             for (const command of COMMANDS) {
                 const isNew = command.kind.startsWith("zone.");
--- a/src/control/startsWindowCloser/index.ts
+++ b/src/control/startsWindowCloser/index.ts
@@ -22,7 +22,7 @@
  * @param dueMs - Time after the window's end at which its report is due, in milliseconds.
  * @returns The wait, in milliseconds.
  * @example
- * windowPatienceMs(10_000); // 8_000
+ * computeMaxReportWaitMs(10_000); // 8_000
  */
 export function computeMaxReportWaitMs(dueMs: number): number {
     return Math.max(0, dueMs - REPORT_MARGIN_MS);
--- a/src/dispatch/attemptBudget/index.ts
+++ b/src/dispatch/attemptBudget/index.ts
@@ -65,7 +65,7 @@
  *
  * @example
  * const retries = new AttemptBudget(clock, DEFAULT_RETRY_LIMITS);
- * retries.noteFirstAttempt();
+ * retries.recordFirstAttempt();
  * if (retries.tryTake(ticket.repeatable)) await sendAgain();
  */
 export class AttemptBudget {
--- a/src/dispatch/dispatchPolicies/index.ts
+++ b/src/dispatch/dispatchPolicies/index.ts
@@ -13,7 +13,7 @@
 import { FifoOrder, OrderPolicy, TierFairOrder } from "../order/index.js";
 import { NoPreemption, PreemptionPolicy, TierPreemption } from "../preemptionPolicy/index.js";
 
-/** Dependencies of an upstream choice policy, for one pool. */
+/** Dependencies of a pool's selection policy. */
 export interface ChoiceDependencies {
     readonly random: Random;
     readonly prefixes: PrefixIndex;
--- a/src/dispatch/localDispatcher/test.ts
+++ b/src/dispatch/localDispatcher/test.ts
@@ -233,7 +233,7 @@
     describe("a routed pool of a hundred engines", () => {
         it("sends a prompt to the engine that has its shared parts cached", async () => {
             // In a pool of a hundred engines, documents that one engine had cached were prefilled again by most others:
-            // the choice policy was given a sample of the engines, which lacked the one with the document two times in
+            // the selection policy received a sample of the engines, which lacked the one with the document two times in
             // three.
             const clock = new VirtualClock();
             const registry = new UpstreamRegistry({ clock });
--- a/src/dispatch/upstreamPicker/index.ts
+++ b/src/dispatch/upstreamPicker/index.ts
@@ -22,7 +22,7 @@
     readonly choice: SelectionPolicy;
 }
 
-/** Finds the candidates for a ticket and lets the choice policy pick one. */
+/** Finds the candidates for a ticket and lets the selection policy choose one. */
 export class UpstreamPicker {
     constructor(private readonly options: UpstreamPickerOptions) {}
 
@@ -41,7 +41,7 @@
     }
 
     /**
-     * Converts a ticket to the request that the choice policy evaluates.
+     * Converts a ticket to the request that the selection policy evaluates.
      *
      * @param now - Monotonic time, in milliseconds.
      */
@@ -69,7 +69,7 @@
     }
 
     /**
-     * Returns free upstreams. A pool with more than the choice policy accepts is sampled, and the upstreams that
+     * Returns free upstreams. A pool with more upstreams than the selection policy accepts is sampled, and the upstreams that
      * probably cache the prompt's prefixes are added.
      */
     private findCandidates(ticket: Ticket): readonly UpstreamLoad[] {
--- a/src/entry/entryProcessAdmin/index.ts
+++ b/src/entry/entryProcessAdmin/index.ts
@@ -9,7 +9,7 @@
 /** Lists the histograms kept in a process. */
 export type HistogramSource = Pick<HistogramTable, "list">;
 
-/** Options of `ProcessAdmin`. */
+/** Options of `EntryProcessAdmin`. */
 export interface EntryProcessAdminOptions {
     readonly clock: Clock;
     readonly registry: UpstreamRegistry;
--- a/src/routing/routeTable/index.ts
+++ b/src/routing/routeTable/index.ts
@@ -76,7 +76,7 @@
  * Picks a random pool for a call, by the weights of the route's targets.
  *
  * @example
- * const pool = drawTarget(route, random);
+ * const pool = pickTargetPool(route, random);
  */
 export function pickTargetPool({ targets }: Route, random: Random): PoolId {
     if (targets.length === 1) return targets[0].pool;
--- a/src/upstream/firstTokenPolicy/index.ts
+++ b/src/upstream/firstTokenPolicy/index.ts
@@ -149,7 +149,7 @@
         const { weights } = this;
         const { now, targetMs } = request;
         const upstreamWork = this.workOf(upstream.id);
-        const { prefillQueue: prefillQueue, failureRate } = upstreamWork;
+        const { prefillQueue, failureRate } = upstreamWork;
         const prefillWork = makePrefillWork(request, holders.get(upstream.id) ?? 0);
         const recomputed = {
             tokens: Math.max(0, shared.tokens - prefillWork.held),
--- a/src/upstream/firstTokenPolicy/test.ts
+++ b/src/upstream/firstTokenPolicy/test.ts
@@ -35,13 +35,13 @@
 
 /** Chooses an upstream for a request, grants it, and returns the upstream's id. */
 function grantToChosen(
-    choice: FirstTokenPolicy,
+    policy: FirstTokenPolicy,
     loads: readonly UpstreamLoad[],
     request: SelectionRequest,
 ): UpstreamId {
-    const chosen = choice.choose(loads, request);
+    const chosen = policy.choose(loads, request);
     const { load } = chosen;
-    choice.granted(chosen, request);
+    policy.granted(chosen, request);
     load.markSent(request.now);
     return load.upstream.id;
 }
@@ -50,31 +50,31 @@
 
 describe("FirstTokenPolicy", () => {
     it("spreads a burst of long prompts, each grant counted at once", () => {
-        const choice = new FirstTokenPolicy(() => undefined);
+        const policy = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b", "c", "d"]);
         const places = Array.from(
             { length: 8 },
-            () => grantToChosen(choice, loads, makeRequest({ promptTokens: 10_000 })),
+            () => grantToChosen(policy, loads, makeRequest({ promptTokens: 10_000 })),
         );
         for (const { upstream } of loads) assert.equal(places.filter(id => id === upstream.id).length, 2);
     });
 
     it("prefers the holder of the prompt's shared parts, unless its backlog is longer than computing them again", () => {
-        const choice = new FirstTokenPolicy(() => undefined);
+        const policy = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b"]);
         const makeDocumentRequest = (now: number): SelectionRequest =>
             makeRequest({ promptTokens: 16_000, parts: DOCUMENT_PARTS, now });
         const first = makeDocumentRequest(0);
-        const home = grantToChosen(choice, loads, first);
-        choice.ended(first.request, false, 500);
+        const home = grantToChosen(policy, loads, first);
+        policy.ended(first.request, false, 500);
         const second = makeDocumentRequest(1_000);
-        assert.equal(grantToChosen(choice, loads, second), home);
-        choice.ended(second.request, false, 1_500);
+        assert.equal(grantToChosen(policy, loads, second), home);
+        policy.ended(second.request, false, 1_500);
         for (let i = 0; i < 8; i++) {
             const busy = makeRequest({ promptTokens: 20_000, now: 2_000 });
-            choice.granted({ load: loads.find(({ upstream }) => upstream.id === home)!, reason: "" }, busy);
+            policy.granted({ load: loads.find(({ upstream }) => upstream.id === home)!, reason: "" }, busy);
         }
-        assert.notEqual(grantToChosen(choice, loads, makeDocumentRequest(2_000)), home);
+        assert.notEqual(grantToChosen(policy, loads, makeDocumentRequest(2_000)), home);
     });
 
     it("finds the engine that holds parts after losing its own records", () => {
@@ -99,17 +99,17 @@
 
     it("keeps long prompts away from streams for which the pause would be too long", () => {
         // Streams paused for half a second beside the prefill of a long prompt, and counted as late.
-        const choice = new FirstTokenPolicy(() => undefined);
+        const policy = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b"]);
-        const shortAt = grantToChosen(choice, loads, makeRequest({ promptTokens: 500, gapMs: 250 }));
-        const longAt = grantToChosen(choice, loads, makeRequest({ promptTokens: 20_000, gapMs: 1_000, now: 500 }));
+        const shortAt = grantToChosen(policy, loads, makeRequest({ promptTokens: 500, gapMs: 250 }));
+        const longAt = grantToChosen(policy, loads, makeRequest({ promptTokens: 20_000, gapMs: 1_000, now: 500 }));
         assert.notEqual(longAt, shortAt);
     });
 
     it("separates pause-sensitive streams from long prompts, even with few engines", () => {
         // The engines of two zones were reclaimed during a burst, and the remaining ones served everything. Each engine
         // had some short and some long prompts, so that each long prompt made a few of the short ones late.
-        const choice = new FirstTokenPolicy(() => undefined);
+        const policy = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["a", "b", "c", "d"]);
         const longAt = new Set<UpstreamId>();
         const shortAt = new Map<UpstreamId, number>();
@@ -118,11 +118,11 @@
             const isLong = now % 400 === 0;
             const size = isLong ? { promptTokens: 15_000, gapMs: 1_000 } : { promptTokens: 800, gapMs: 250 };
             const request = makeRequest({ ...size, now });
-            const { load } = choice.choose(loads, request);
-            choice.granted({ load: load, reason: "" }, request);
-            choice.progressed(request.request, true, now + (isLong ? 330 : 46));
+            const { load } = policy.choose(loads, request);
+            policy.granted({ load, reason: "" }, request);
+            policy.progressed(request.request, true, now + (isLong ? 330 : 46));
             running.push(request);
-            while (running[0].now <= now - 1_500) choice.ended(running.shift()!.request, false, now + 60);
+            while (running[0].now <= now - 1_500) policy.ended(running.shift()!.request, false, now + 60);
             const { id } = load.upstream;
             if (now < 5_000) continue;
             if (isLong) longAt.add(id);
@@ -143,50 +143,50 @@
             makeRequest({ promptTokens: 500, gapMs: 180, targetMs: 1_200, eventTokens: 8, predictedTokens: 250, now });
 
         /** Starts a stream that is still running: its latest event came a second later. */
-        function startStream(choice: FirstTokenPolicy, load: UpstreamLoad, request: SelectionRequest): void {
-            choice.granted({ load, reason: "" }, request);
-            choice.progressed(request.request, true, request.now + 40);
-            choice.progressed(request.request, false, request.now + 1_000);
+        function startStream(policy: FirstTokenPolicy, load: UpstreamLoad, request: SelectionRequest): void {
+            policy.granted({ load, reason: "" }, request);
+            policy.progressed(request.request, true, request.now + 40);
+            policy.progressed(request.request, false, request.now + 1_000);
         }
 
         it("are kept apart from the prompt that would make the prefill period too long", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const [streaming, prefilling] = makeLoads(["briefs", "itineraries"]);
-            startStream(choice, streaming, makeStreamRequest(0));
-            for (let i = 0; i < 3; i++) choice.granted({ load: prefilling, reason: "" }, makeLongRequest(1_000));
-            const places = [1, 2, 3].map(() => grantToChosen(choice, [streaming, prefilling], makeLongRequest(1_000)));
+            startStream(policy, streaming, makeStreamRequest(0));
+            for (let i = 0; i < 3; i++) policy.granted({ load: prefilling, reason: "" }, makeLongRequest(1_000));
+            const places = [1, 2, 3].map(() => grantToChosen(policy, [streaming, prefilling], makeLongRequest(1_000)));
             assert.deepEqual(places, ["briefs", "itineraries", "itineraries"]);
         });
 
         it("do not go where such prefill periods occurred recently", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const [prefilling, idle] = makeLoads(["itineraries", "idle"]);
             idle.markSent(0);
             for (let now = 0; now < 4_000; now += 500) {
-                for (let i = 0; i < 4; i++) choice.granted({ load: prefilling, reason: "" }, makeLongRequest(now));
+                for (let i = 0; i < 4; i++) policy.granted({ load: prefilling, reason: "" }, makeLongRequest(now));
             }
-            assert.equal(grantToChosen(choice, [prefilling, idle], makeStreamRequest(6_000)), "idle");
+            assert.equal(grantToChosen(policy, [prefilling, idle], makeStreamRequest(6_000)), "idle");
         });
 
         it("no longer count once they are late", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const [late, sound] = makeLoads(["late", "sound"]);
-            startStream(choice, late, makeStreamRequest(0));
-            startStream(choice, sound, makeStreamRequest(0));
-            for (let i = 0; i < 4; i++) choice.granted({ load: late, reason: "" }, makeLongRequest(1_000));
+            startStream(policy, late, makeStreamRequest(0));
+            startStream(policy, sound, makeStreamRequest(0));
+            for (let i = 0; i < 4; i++) policy.granted({ load: late, reason: "" }, makeLongRequest(1_000));
             const places = Array.from(
                 { length: 4 },
-                () => grantToChosen(choice, [late, sound], makeLongRequest(1_500)),
+                () => grantToChosen(policy, [late, sound], makeLongRequest(1_500)),
             );
             assert.deepEqual(places, ["late", "sound", "late", "late"]);
         });
 
         it("are known to a new owner of the queue, which did not grant them", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const [streaming, prefilling] = makeLoads(["briefs", "itineraries"]);
-            choice.adopted(streaming, makeStreamRequest(1_000), 500);
-            for (let i = 0; i < 3; i++) choice.granted({ load: prefilling, reason: "" }, makeLongRequest(1_000));
-            const places = [1, 2, 3].map(() => grantToChosen(choice, [streaming, prefilling], makeLongRequest(1_000)));
+            policy.adopted(streaming, makeStreamRequest(1_000), 500);
+            for (let i = 0; i < 3; i++) policy.granted({ load: prefilling, reason: "" }, makeLongRequest(1_000));
+            const places = [1, 2, 3].map(() => grantToChosen(policy, [streaming, prefilling], makeLongRequest(1_000)));
             assert.deepEqual(places, ["briefs", "itineraries", "itineraries"]);
         });
     });
@@ -194,15 +194,15 @@
     it("avoids an unresponsive engine within a second, though its connections are open", () => {
         // Callers waited until they gave up: an unresponsive engine accepted connections but answered no request, and
         // had the shortest backlog of all.
-        const choice = new FirstTokenPolicy(() => undefined);
+        const policy = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["dark", "sound"]);
         const [unresponsive, sound] = loads;
-        choice.granted({ load: unresponsive, reason: "" }, makeRequest({ promptTokens: 500, now: 0 }));
+        policy.granted({ load: unresponsive, reason: "" }, makeRequest({ promptTokens: 500, now: 0 }));
         const other = makeRequest({ promptTokens: 500, now: 0 });
-        choice.granted({ load: sound, reason: "" }, other);
-        for (let now = 0; now <= 1_000; now += 100) choice.progressed(other.request, now === 0, now);
+        policy.granted({ load: sound, reason: "" }, other);
+        for (let now = 0; now <= 1_000; now += 100) policy.progressed(other.request, now === 0, now);
         for (let i = 0; i < 5; i++) {
-            assert.equal(grantToChosen(choice, loads, makeRequest({ promptTokens: 500, now: 1_000 })), "sound");
+            assert.equal(grantToChosen(policy, loads, makeRequest({ promptTokens: 500, now: 1_000 })), "sound");
         }
     });
 
@@ -210,28 +210,28 @@
         // The number of long prompts doubled, and an engine with free slots had no memory left. It preempted running
         // requests, even more urgent ones, and prefilled them again. Cause: only slots were counted, but memory is full
         // long before they are.
-        const choice = new FirstTokenPolicy(() => 20_000);
+        const policy = new FirstTokenPolicy(() => 20_000);
         const loads = makeLoads(["full", "roomy"]);
         const [full, roomy] = loads;
         for (let i = 0; i < 3; i++) {
             const running = makeRequest({ promptTokens: 6_000 });
-            choice.granted({ load: full, reason: "" }, running);
-            choice.progressed(running.request, true, 150);
-            choice.progressed(running.request, false, 950);
+            policy.granted({ load: full, reason: "" }, running);
+            policy.progressed(running.request, true, 150);
+            policy.progressed(running.request, false, 950);
         }
-        choice.granted({ load: roomy, reason: "" }, makeRequest({ promptTokens: 9_000, now: 900 }));
-        assert.equal(grantToChosen(choice, loads, makeRequest({ promptTokens: 6_000, now: 1_000 })), "roomy");
+        policy.granted({ load: roomy, reason: "" }, makeRequest({ promptTokens: 9_000, now: 900 }));
+        assert.equal(grantToChosen(policy, loads, makeRequest({ promptTokens: 6_000, now: 1_000 })), "roomy");
     });
 
     it("prefers upstreams that do not fail requests", () => {
-        const choice = new FirstTokenPolicy(() => undefined);
+        const policy = new FirstTokenPolicy(() => undefined);
         const loads = makeLoads(["grey", "sound"]);
         for (let i = 0; i < 10; i++) {
             const request = makeRequest();
-            choice.granted({ load: loads[0], reason: "" }, request);
-            choice.ended(request.request, true, 0);
+            policy.granted({ load: loads[0], reason: "" }, request);
+            policy.ended(request.request, true, 0);
         }
-        assert.equal(grantToChosen(choice, loads, makeRequest({ now: 1_000 })), "sound");
+        assert.equal(grantToChosen(policy, loads, makeRequest({ now: 1_000 })), "sound");
     });
 
     describe("parts that another upstream holds", () => {
@@ -246,62 +246,62 @@
                 now,
             });
 
-        function runOnLeavingUpstream(choice: FirstTokenPolicy, loads: readonly UpstreamLoad[], now: number): void {
+        function runOnLeavingUpstream(policy: FirstTokenPolicy, loads: readonly UpstreamLoad[], now: number): void {
             const request = makeDocumentRequest(now, []);
-            choice.granted({ load: loads[0], reason: "" }, request);
-            choice.progressed(request.request, true, now + 300);
-            choice.ended(request.request, false, now + 400);
+            policy.granted({ load: loads[0], reason: "" }, request);
+            policy.progressed(request.request, true, now + 300);
+            policy.ended(request.request, false, now + 400);
         }
 
         it("are fetched from one that leaves", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["leaver", "stays"]);
-            runOnLeavingUpstream(choice, loads, 0);
-            const { fetch } = choice.choose([loads[1]], makeDocumentRequest(2_000, loads));
+            runOnLeavingUpstream(policy, loads, 0);
+            const { fetch } = policy.choose([loads[1]], makeDocumentRequest(2_000, loads));
             assert.deepEqual([fetch?.from.upstream.id, fetch?.tokens], ["leaver", 13_000]);
         });
 
         it("are not fetched from one whose prefill of them is still running", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["leaver", "stays"]);
-            choice.granted({ load: loads[0], reason: "" }, makeDocumentRequest(0, []));
-            assert.equal(choice.choose([loads[1]], makeDocumentRequest(200, loads)).fetch, undefined);
+            policy.granted({ load: loads[0], reason: "" }, makeDocumentRequest(0, []));
+            assert.equal(policy.choose([loads[1]], makeDocumentRequest(200, loads)).fetch, undefined);
         });
 
         it("are fetched as soon as a prompt with them has produced its first token there", () => {
             // Two callers asked for the same document within a second. The engine that prefilled it first had no time
             // for the second request, and another engine prefilled the document again.
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["first", "stays"]);
             const request = makeDocumentRequest(0, []);
-            choice.granted({ load: loads[0], reason: "" }, request);
-            choice.progressed(request.request, true, 300);
-            assert.equal(choice.choose([loads[1]], makeDocumentRequest(400, loads)).fetch?.tokens, 13_000);
+            policy.granted({ load: loads[0], reason: "" }, request);
+            policy.progressed(request.request, true, 300);
+            assert.equal(policy.choose([loads[1]], makeDocumentRequest(400, loads)).fetch?.tokens, 13_000);
         });
 
         it("are not fetched from one that prefills other prompts first, however long ago they were sent", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["busy", "stays"]);
             for (let i = 0; i < 10; i++) {
-                choice.granted({ load: loads[0], reason: "" }, makeRequest({ promptTokens: 20_000, now: 0 }));
+                policy.granted({ load: loads[0], reason: "" }, makeRequest({ promptTokens: 20_000, now: 0 }));
             }
-            choice.granted({ load: loads[0], reason: "" }, makeDocumentRequest(0, []));
-            assert.equal(choice.choose([loads[1]], makeDocumentRequest(2_000, loads)).fetch, undefined);
+            policy.granted({ load: loads[0], reason: "" }, makeDocumentRequest(0, []));
+            assert.equal(policy.choose([loads[1]], makeDocumentRequest(2_000, loads)).fetch, undefined);
         });
 
         it("are not fetched if they have not been used recently", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["leaver", "stays"]);
-            runOnLeavingUpstream(choice, loads, 0);
-            assert.equal(choice.choose([loads[1]], makeDocumentRequest(20_000, loads)).fetch, undefined);
+            runOnLeavingUpstream(policy, loads, 0);
+            assert.equal(policy.choose([loads[1]], makeDocumentRequest(20_000, loads)).fetch, undefined);
         });
 
         it("are not fetched from an unresponsive one", () => {
-            const choice = new FirstTokenPolicy(() => undefined);
+            const policy = new FirstTokenPolicy(() => undefined);
             const loads = makeLoads(["dark", "stays"]);
-            runOnLeavingUpstream(choice, loads, 0);
-            choice.granted({ load: loads[0], reason: "" }, makeRequest({ promptTokens: 500, now: 1_000 }));
-            assert.equal(choice.choose([loads[1]], makeDocumentRequest(4_000, loads)).fetch, undefined);
+            runOnLeavingUpstream(policy, loads, 0);
+            policy.granted({ load: loads[0], reason: "" }, makeRequest({ promptTokens: 500, now: 1_000 }));
+            assert.equal(policy.choose([loads[1]], makeDocumentRequest(4_000, loads)).fetch, undefined);
         });
     });
 
@@ -333,20 +333,20 @@
         }
 
         /** Grants a whole load; each request produces its first token after a while, and ends two seconds later. */
-        function grantAll(choice: FirstTokenPolicy, seed: number): UpstreamId[] {
+        function grantAll(policy: FirstTokenPolicy, seed: number): UpstreamId[] {
             const loads = makeLoads(Array.from({ length: ENGINE_COUNT }, (_, index) => `engine-${index}`));
             const running: SelectionRequest[] = [];
             const prefilling: SelectionRequest[] = [];
             return [...generateLoad(seed)].map(request => {
                 const { now } = request;
-                while (prefilling[0]?.now <= now - 120) choice.progressed(prefilling.shift()!.request, true, now);
+                while (prefilling[0]?.now <= now - 120) policy.progressed(prefilling.shift()!.request, true, now);
                 while (running[0]?.now <= now - 2_000) {
                     const { request: ended } = running.shift()!;
-                    choice.ended(ended, false, now, 180);
+                    policy.ended(ended, false, now, 180);
                 }
                 running.push(request);
                 prefilling.push(request);
-                return grantToChosen(choice, loads, request);
+                return grantToChosen(policy, loads, request);
             });
         }
 
--- a/src/upstream/firstTokenWeights/index.ts
+++ b/src/upstream/firstTokenWeights/index.ts
@@ -29,7 +29,7 @@
      * late as one that waits for its whole target.
      */
     readonly ownStallTargets: number;
-    /** Per millisecond for which a busy upstream has been silent beyond what it may. */
+    /** Per millisecond of silence of a busy upstream beyond the time that a working one may be silent. */
     readonly unresponsiveFactor: number;
     /**
      * For any upstream but the home of the prompt's shared parts, while no upstream is known to hold them: a multiple
--- a/src/upstream/requestLimits/index.ts
+++ b/src/upstream/requestLimits/index.ts
@@ -23,11 +23,11 @@
 }
 
 /**
- * The limits that upstreams state in their answers, as one host knows them. A limit holds until an answer comes without
- * one.
+ * The limits that upstreams state in their answers, as one host knows them. A limit applies until an answer states
+ * none.
  *
  * @example
- * const change = limits.note(pool, upstream, 2.5);
+ * const change = limits.record(pool, upstream, 2.5);
  */
 export class RequestLimits {
     /** Ordered by the time of the answer, the oldest first. */
--- a/src/upstream/upstreamLoad/index.ts
+++ b/src/upstream/upstreamLoad/index.ts
@@ -107,7 +107,7 @@
     /** Limit that it states in its answers, with the time of the answer; undefined if it states none. */
     get limit(): AdvertisedLimit | undefined {
         const { perSecond, answeredAt } = this.allowance;
-        return perSecond === undefined ? undefined : { perSecond, answeredAt: answeredAt };
+        return perSecond === undefined ? undefined : { perSecond, answeredAt };
     }
 
     /**
--- a/src/upstream/upstreamWork/index.ts
+++ b/src/upstream/upstreamWork/index.ts
@@ -97,7 +97,7 @@
         this.failureShare += FAILURE_SMOOTHING * ((failed ? 1 : 0) - this.failureShare);
     }
 
-    /** Returns how long the upstream has been silent beyond what a working one may be, in milliseconds. */
+    /** Returns by how many milliseconds the upstream has been silent for longer than a working one may be. */
     unresponsiveMs(now: number): number {
         if (this.running.size === 0) return 0;
         return Math.max(0, now - this.lastProgressAt - MAX_QUIET_MS - this.prefillQueue.backlogMs(now));
--- a/src/usage/startMeter/index.ts
+++ b/src/usage/startMeter/index.ts
@@ -16,7 +16,7 @@
  * that is resent or late does no harm.
  *
  * @example
- * meter.note("butcher" as WorkspaceId, trueTime.now());
+ * meter.recordStart("butcher" as WorkspaceId, trueTime.now());
  */
 export class StartMeter {
     private readonly windows = new Map<number, Map<WorkspaceId, number>>();
