--- a/src/bench/policy/speed/main.ts
+++ b/src/bench/policy/speed/main.ts
@@ -26,7 +26,7 @@
 
 type DispatcherSize = typeof DISPATCHER_SIZES[number];
 
-/** Engines of a pool that uses `RoutedChoice`, and streams that run on each of them. */
+/** Engines of a pool that uses `FirstTokenPolicy`, and streams that run on each of them. */
 const ROUTED_SIZES = [{ engines: 60, streams: 20 }, { engines: 200, streams: 20 }];
 const ROUTED_CHOICE_COUNT = 3_000;
 
--- a/src/ports/memoryFabric/index.ts
+++ b/src/ports/memoryFabric/index.ts
@@ -82,7 +82,7 @@
         this.connectActions.set(linkKey(from, to), action);
     }
 
-    /** Runs the action registered by `onceConnected`, if any; called for each connection that is opened. */
+    /** Runs the action registered by `onNextConnection`, if any; called for each connection that is opened. */
     notifyConnected(from: string, to: string): void {
         const action = this.connectActions.get(linkKey(from, to));
         this.connectActions.delete(linkKey(from, to));
--- a/src/settings/_lib/settingRows.ts
+++ b/src/settings/_lib/settingRows.ts
@@ -18,7 +18,7 @@
  * Lists the settings of a role in the order of the schema.
  *
  * @example
- * listRows("entry").length;
+ * listSettingRows("entry").length;
  */
 export function listSettingRows(role: Settings["role"]): SettingRow[] {
     return Object.entries(SCHEMAS[role].shape).flatMap(([section, inner]) => {
