--- a/src/consensus/membershipManager/index.ts
+++ b/src/consensus/membershipManager/index.ts
@@ -174,8 +174,8 @@
             return clock.monotonicWithSuspend() - Math.max(contactAt, leadership.startedAt);
         };
         const others = findVoters(configuration).filter(member => member.storeId !== storeId);
-        const silent = others.filter(member => silentMs(member) >= DEAD_VOTER_TIMEOUT_MS);
-        return silent.sort((a, b) => silentMs(b) - silentMs(a))[0];
+        const unresponsive = others.filter(member => silentMs(member) >= DEAD_VOTER_TIMEOUT_MS);
+        return unresponsive.sort((a, b) => silentMs(b) - silentMs(a))[0];
     }
 
     private isCaughtUp(learner: Member, leadership: Leadership): boolean {
--- a/src/consensus/replica/index.ts
+++ b/src/consensus/replica/index.ts
@@ -100,8 +100,8 @@
         this.configurations = new MemberHistory(this.committedIndex, base, () => this.changed.notifyAll());
         const state = store.takeLoadedSnapshotState();
         if (state) this.applier.restore(this.committedIndex, state);
-        const rest = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
-        for (const entry of rest) this.recordConfiguration(entry);
+        const uncommitted = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
+        for (const entry of uncommitted) this.recordConfiguration(entry);
     }
 
     get storeId(): StoreId {
--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -215,10 +215,10 @@
             const { client } = fleet.startEntry("e1");
             await fleet.clock.advance(500);
             fleet.group.proposalOutcome = "lose-answer";
-            const asked = client.command<BeginCallResult>(begin, 2_000);
+            const pendingReply = client.command<BeginCallResult>(begin, 2_000);
             await fleet.clock.advance(200);
             fleet.group.proposalOutcome = "apply";
-            assert.equal((await fleet.clock.runUntil(asked, 3_000)).unsafeCoerce().state, "opened");
+            assert.equal((await fleet.clock.runUntil(pendingReply, 3_000)).unsafeCoerce().state, "opened");
         });
 
         it("reports whether it may have been applied when no reply arrives", async () => {
@@ -237,13 +237,13 @@
             // would end later than the holder can know, and the entry would accept a withdrawn key after the change is reported as in
             // force.
             const clock = new VirtualClock();
-            let asked = 0;
+            let pullCount = 0;
             const link = {
                 isOpen: true,
                 peer: undefined,
                 notify: () => undefined,
                 call: async () => {
-                    await clock.sleep(asked++ === 0 ? 1_000 : 60_000);
+                    await clock.sleep(pullCount++ === 0 ? 1_000 : 60_000);
                     return Right({ leaseMs: LEASE_MS, entries: [] });
                 },
             };
--- a/src/control/controlLinkSet/index.ts
+++ b/src/control/controlLinkSet/index.ts
@@ -58,15 +58,15 @@
 
     private updateLinks(): void {
         const { ownAddress } = this.options;
-        const wanted = new Set([...this.members, ...this.seeds]);
-        if (ownAddress) wanted.delete(formatAddress(ownAddress));
+        const wantedAddresses = new Set([...this.members, ...this.seeds]);
+        if (ownAddress) wantedAddresses.delete(formatAddress(ownAddress));
         for (const [address, { link, lifecycle }] of [...this.linksByAddress]) {
-            if (wanted.has(address)) continue;
+            if (wantedAddresses.has(address)) continue;
             this.linksByAddress.delete(address);
             this.list.splice(this.list.indexOf(link), 1);
             void lifecycle.close();
         }
-        for (const address of wanted) {
+        for (const address of wantedAddresses) {
             if (!this.linksByAddress.has(address)) this.addLink(address);
         }
     }
--- a/src/control/controlState/index.ts
+++ b/src/control/controlState/index.ts
@@ -275,7 +275,7 @@
     }
 
     private reserveTokens(command: ReserveCommand, context: ApplyContext): unknown {
-        // A removed workspace has no recorded limit and must not be taken for one without a limit.
+        // A removed workspace has no recorded limit and must not be mistaken for one without a limit.
         const isKnown = this.registry.workspace(command.workspace) !== undefined;
         const limit = isKnown ? this.registry.tokenLimit(command.workspace) : 0;
         return this.spend.reserve(command, limit, context);
--- a/src/control/orderHistory/test.ts
+++ b/src/control/orderHistory/test.ts
@@ -56,7 +56,7 @@
 
 const drained = makeOrder(DRAIN, { outcome: "done", finishedAt: DRAINED_AT });
 
-describe("findLeavers", () => {
+describe("planStops", () => {
     // A stop would interrupt a stream if the engine's load report predates the last request sent to it and is taken as current.
     it("ignores a load measured before the entries stopped sending", () => {
         assert.equal(countStops(makeHistory([drained]), { loadAgeMs: 4_000 }, 6_000), 0);
--- a/src/control/poolSizer/index.ts
+++ b/src/control/poolSizer/index.ts
@@ -86,8 +86,8 @@
 }
 
 /**
- * Scales each pool to its load, by ordering a desired number of upstreams per zone and kind: reclaimable or steady (not reclaimable). Orders are idempotent and therefore not
- * written to the log: a new holder sends each order once more.
+ * Scales each pool to its load, by ordering a desired number of upstreams per zone and kind: reclaimable or steady (not reclaimable).
+ * Orders are idempotent and therefore not written to the log: a new holder sends each order once more.
  */
 export class PoolSizer extends HolderTask {
     readonly name = "pool-sizer";
@@ -109,9 +109,9 @@
         for (const { pool, scaling } of state.documents.current?.document.pools ?? []) {
             if (!scaling) continue;
             const orders = this.planPool(pool, scaling);
-            for (const due of isObserving ? orders.filter(order => this.onlyAddsCapacity(order)) : orders) {
+            for (const dueOrder of isObserving ? orders.filter(order => this.onlyAddsCapacity(order)) : orders) {
                 if (!term.maySend(platformChecksFence)) return STEP_INTERVAL_MS;
-                await this.send(due, term);
+                await this.send(dueOrder, term);
             }
         }
         return STEP_INTERVAL_MS;
--- a/src/control/poolSizer/test.ts
+++ b/src/control/poolSizer/test.ts
@@ -89,7 +89,7 @@
 
     it("plans for upstreams that announce themselves only after three seconds", async () => {
         // When all processes have just started, most engines reach a control process only with their third announcement. With a shorter
-        // observation period the holder would take the few known engines for all and leave one per zone, and short questions would get no
+        // observation period the holder would assume that the few known engines are all and leave one per zone, and short questions would get no
         // answer for eight seconds.
         const { platform, announce, run } = makeSizer();
         announce("keflavik-0", "keflavik", false);
@@ -140,7 +140,7 @@
         assert.equal(ordersOf(), before + 1);
     });
 
-    it("orders again at once when reclaimable ones are about to leave, so that steady ones come in time", async () => {
+    it("orders again at once when reclaimable ones are about to leave, so that steady ones start in time", async () => {
         // The platform reclaims a zone's engines at short notice and has no others. If the holder ordered steady ones only after the start
         // time of new engines has passed, callers would wait for seconds.
         const { platform, announce, run } = makeSizer();
--- a/src/dispatch/admissionPolicy/test.ts
+++ b/src/dispatch/admissionPolicy/test.ts
@@ -12,7 +12,7 @@
     return policy.expectedLatenessMs(waiting, { now, waitMs, firstTokenMs: FIRST_TOKEN_MS }) > 0;
 }
 
-describe("LastMomentAdmission", () => {
+describe("DeadlineAdmission", () => {
     const policy = new DeadlineAdmission();
 
     describe("a new ticket", () => {
--- a/src/dispatch/invariants/test.ts
+++ b/src/dispatch/invariants/test.ts
@@ -151,9 +151,9 @@
     }
 
     private async advance(ms: number): Promise<void> {
-        for (let left = ms; left > 0; left -= 500) {
+        for (let remainingMs = ms; remainingMs > 0; remainingMs -= 500) {
             this.announceAll();
-            await this.clock.advance(Math.min(left, 500));
+            await this.clock.advance(Math.min(remainingMs, 500));
         }
     }
 
--- a/src/dispatch/localDispatcher/test.ts
+++ b/src/dispatch/localDispatcher/test.ts
@@ -147,8 +147,8 @@
     });
 
     describe("a completion that comes after its request was granted again", () => {
-        // The failure of an attempt is at times reported only after the retry was granted elsewhere. The late report
-        // was taken for that of the retry, whose own completion then found no grant: its slot stayed occupied, and the
+        // The failure of an attempt is sometimes reported only after the retry was granted elsewhere. The late report
+        // was attributed to the retry, whose own completion then found no grant: its slot stayed occupied, and the
         // pool served fewer and fewer requests.
         it("does not hide the end of the second grant", async () => {
             const pool = new TestPool(1);
@@ -233,8 +233,8 @@
     describe("a routed pool of a hundred engines", () => {
         it("sends a prompt to the engine that has its shared parts cached", async () => {
             // In a pool of a hundred engines, documents that one engine had cached were prefilled again by most others:
-            // the selection policy received a sample of the engines, which lacked the one with the document two times in
-            // three.
+            // the selection policy received a sample of the engines, which lacked the one with the document in two cases
+            // out of three.
             const clock = new VirtualClock();
             const registry = new UpstreamRegistry({ clock });
             for (let index = 0; index < 98; index++) {
--- a/src/dispatch/order/test.ts
+++ b/src/dispatch/order/test.ts
@@ -55,7 +55,7 @@
     });
 
     describe("a small workspace that always has requests running", () => {
-        // A small workspace has no waiting ticket for a moment now and then. If its counter is moved up to the others
+        // A small workspace occasionally has no waiting ticket for a short time. If its counter is moved up to the others
         // each time, as after idling, it gets only nine tenths of its share of a busy pool.
         it("keeps a limited number of unused turns", () => {
             const order = new TierFairOrder();
--- a/src/dispatch/order/tierQueue/index.ts
+++ b/src/dispatch/order/tierQueue/index.ts
@@ -18,8 +18,8 @@
 /** Number of workspaces from which on counters of idle ones are removed, once the tier's counter has reached them. */
 const MIN_IDLE_EXPIRY_COUNT = 256;
 /**
- * Maximum lag of the counter of a workspace with running requests behind the others, in requests. A small workspace has
- * no waiting ticket at times; if it were moved up to the others each time, it would lose a tenth of its share to them.
+ * Maximum lag of the counter of a workspace with running requests behind the others, in requests. A small workspace
+ * occasionally has no waiting ticket; if it were moved up to the others each time, it would lose a tenth of its share to them.
  */
 const MAX_LAG_REQUESTS = 4;
 /** Up to this many active workspaces, the cost ahead is summed exactly; above it, it is estimated. */
--- a/src/entry/cacheDiscovery/index.ts
+++ b/src/entry/cacheDiscovery/index.ts
@@ -8,7 +8,7 @@
 import { PromptPart, Upstream, UpstreamRegistry } from "../../upstream/index.js";
 import { FleetDispatcher } from "../fleetDispatcher/index.js";
 
-/** Interval between checks for upstreams not yet queried, in milliseconds. An upstream that boots gets its first call about as soon. */
+/** Interval between checks for upstreams not yet queried, in milliseconds. A new upstream gets its first call after about the same time. */
 const QUERY_INTERVAL_MS = 50;
 /** Interval between checks for queue ownership while this process owns no queue, in milliseconds. */
 const OWNERSHIP_CHECK_INTERVAL_MS = 200;
--- a/src/entry/callRecord/index.ts
+++ b/src/entry/callRecord/index.ts
@@ -25,7 +25,7 @@
  * The record of one non-repeatable call in the control log.
  *
  * Prevents a call from running twice: a caller that lost its answer resends the call through another host, while the first
- * may be queued, running, or done. The record is committed before the call may be sent, and only the request that opened it
+ * request may be queued, running, or done. The record is committed before the call may be sent, and only the request that opened it
  * sends the call; all others join it. If the host ends in between, the record becomes "unknown" and is never opened
  * again.
  */
--- a/src/entry/fleetDispatcher/index.ts
+++ b/src/entry/fleetDispatcher/index.ts
@@ -240,7 +240,7 @@
     }
 
     /**
-     * Reports this entry's running requests to new owners. Otherwise a new owner would take busy upstreams for idle: load reports are
+     * Reports this entry's running requests to new owners. Otherwise a new owner would consider busy upstreams idle: load reports are
      * old, and only the previous owner knew its grants.
      */
     private reassignGrants(): void {
--- a/src/entry/routeService/test.ts
+++ b/src/entry/routeService/test.ts
@@ -138,8 +138,8 @@
 
     describe("a call that runs once at most", () => {
         it("is not resent after a lost answer, and its caller gets an error immediately", async () => {
-            // Failure: a customer is charged twice. The ledger runs an order and its answer is lost; the entry takes the order for not
-            // run and sends it to the next ledger.
+            // Failure: a customer is charged twice. The ledger runs an order and its answer is lost; the entry assumes that the order
+            // has not run and sends it to the next ledger.
             await startFleet();
             injectFault("lost");
             const reply = await fleet.call({ entry: 0, path: "/orders/1", key: KEY, request: "roast" });
@@ -219,7 +219,7 @@
         });
 
         it("are cut where the engine that should resume fails, whichever engine breaks off", async () => {
-            // Failure: a caller takes half of a brief for the whole. An engine crashes while it streams, the engine that should resume
+            // Failure: a caller mistakes half of a brief for the whole. An engine crashes while it streams, the engine that should resume
             // answers with an error, and the text of that error is appended to the stream, though the answer is not a stream.
             await startFleet({ upstreams: STREAMS });
             await fleet.advance(10_000);
@@ -233,7 +233,7 @@
             }
         });
 
-        it("are cut where they may not be resumed, so that a caller does not take a part for the whole", async () => {
+        it("are cut where they may not be resumed, so that a caller does not mistake a part for the whole", async () => {
             await startFleet({ upstreams: STREAMS });
             injectFault("break");
             const reply = await fleet.call({ entry: 0, path: "/sheets/1", key: KEY, request: "sheet" });
@@ -283,7 +283,7 @@
         it("does not count calls that were reassigned and completed meanwhile", async () => {
             // Failure: after a short pause of one host, engines become idle one after another, and the others are overloaded until callers
             // give up. An entry reassigns its running calls to the next owner of the queue, and they end there; the first owner, once back,
-            // never learns that they have ended, and takes their engines for full or unresponsive.
+            // never learns that they have ended, and considers their engines full or unresponsive.
             const POOL = "ledger" as PoolId;
             await startFleet({ entries: 3, upstreams: [{ workMs: 400, slots: 16 }, { workMs: 400, slots: 16 }] });
             const [first] = fleet.entries;
--- a/src/entry/stallTimer/index.ts
+++ b/src/entry/stallTimer/index.ts
@@ -40,9 +40,9 @@
     }
 
     private check(): void {
-        const left = this.lastTouch + this.limitMs - this.clock.monotonic();
-        if (left > 0) {
-            this.arm(left);
+        const remainingMs = this.lastTouch + this.limitMs - this.clock.monotonic();
+        if (remainingMs > 0) {
+            this.arm(remainingMs);
             return;
         }
         this.timer = undefined;
--- a/src/passthrough/eventScanner/test.ts
+++ b/src/passthrough/eventScanner/test.ts
@@ -16,7 +16,7 @@
         assert.equal(scanner.hasPartialEvent, false);
     });
 
-    it("accepts both kinds of line ends", () => {
+    it("accepts both kinds of line endings", () => {
         const scanner = new EventScanner();
         assert.deepEqual(scan(scanner, "id:7\r\ndata: a\r\n\r\n"), ["id:7\r\ndata: a\r\n\r\n", 1, "7"]);
     });
--- a/src/passthrough/prepareCall/index.ts
+++ b/src/passthrough/prepareCall/index.ts
@@ -94,8 +94,8 @@
 /**
  * Holds a call that arrived before the first document, and returns the document.
  *
- * After a restart of all processes, callers reconnect as soon as a connection is accepted, most of them for the last
- * time; a refusal just before the document arrives would leave them without an answer. An entry that had a document and
+ * After a restart of all processes, callers reconnect as soon as a connection is accepted, and most make no further
+ * attempt; a refusal just before the document arrives would leave them without an answer. An entry that had a document and
  * has lost the control processes refuses at once instead, since the caller's next connection may reach another host
  * with a fresh view.
  */
--- a/src/quarantine/servedRequests/test.ts
+++ b/src/quarantine/servedRequests/test.ts
@@ -18,7 +18,7 @@
         assert.equal(served.isRecent(REQUEST), false);
     });
 
-    it("forgets the oldest of very many", () => {
+    it("forgets the oldest beyond its maximum size", () => {
         const served = new ServedRequests(new VirtualClock());
         served.record(REQUEST);
         for (let number = 0; number < 3_000; number++) served.record(`n${number}` as RequestFingerprint);
--- a/src/routing/checkDocument/test.ts
+++ b/src/routing/checkDocument/test.ts
@@ -38,7 +38,7 @@
         });
     });
 
-    describe("values that are no documents", () => {
+    describe("values that are not documents", () => {
         for (const value of [undefined, "text", [], {}, { version: 1 }, { ...makeDocument(), version: "1" }]) {
             it(`rejects ${JSON.stringify(value)?.slice(0, 40)} with one reason`, () => {
                 assert.notEqual(faultOf(value), "good");
--- a/src/routing/documentStore/test.ts
+++ b/src/routing/documentStore/test.ts
@@ -10,7 +10,7 @@
 describe("DocumentStore", () => {
     it("keeps the highest version, in whatever order versions arrive", () => {
         // Two operators send one change each to two hosts at the same time. Whichever is committed last, the higher
-        // version holds afterwards, and both commands succeed.
+        // version is in force afterwards, and both commands succeed.
         const store = new DocumentStore();
         assert.equal(store.replace(replace(7, "seven"), 3).state, "replaced");
         assert.deepEqual(store.replace(replace(5, "five"), 4), { state: "superseded", revision: 3 });
--- a/src/routing/fleetDocument/index.ts
+++ b/src/routing/fleetDocument/index.ts
@@ -1,6 +1,6 @@
 /**
  * The fleet document: everything that entries need to route calls of any path, in one piece. An operator replaces it as
- * a whole; of two documents the one with the higher version holds.
+ * a whole; of two documents the one with the higher version is in force.
  */
 import * as z from "zod";
 import { PoolId, WorkspaceId } from "../../ids/index.js";
@@ -28,7 +28,7 @@
     name: z.string().min(1),
     /** The `Host` header of the calls, without a port. */
     host: z.string().min(1),
-    /** Starts and ends with a slash; the longest matching prefix holds. */
+    /** Starts and ends with a slash; the longest matching prefix applies. */
     pathPrefix: z.string().startsWith("/").endsWith("/"),
     kind: z.enum(CALL_KINDS),
     /** Maximum duration of a call, in milliseconds. */
--- a/src/routing/routeTable/test.ts
+++ b/src/routing/routeTable/test.ts
@@ -35,7 +35,7 @@
     });
 });
 
-describe("drawTarget", () => {
+describe("pickTargetPool", () => {
     it("picks by the weights, and never a weight of 0", () => {
         const targets = [{ pool: "draft", weight: 90 }, { pool: "ledger", weight: 10 }, { pool: "draft", weight: 0 }];
         const [route] = makeCheckedDocument({ routes: [makeRoute({ targets })] }).routes;
--- a/src/upstream/firstTokenPolicy/index.ts
+++ b/src/upstream/firstTokenPolicy/index.ts
@@ -34,7 +34,7 @@
  *
  * It copes with the following situations:
  * - Bursts of long prompts: load reports are a few hundred milliseconds old, and within that time a burst fills the
- *   engine that reported to be idle. Here each grant counts immediately.
+ *   engine that reported itself idle. Here each grant counts immediately.
  * - Unresponsive engines: connections to them stay open and requests get no answer for as long as their callers wait,
  *   while no health check fails. An engine whose running requests all show no progress gets no more of them after some
  *   hundred milliseconds.
@@ -100,8 +100,8 @@
     }
 
     /**
-     * Registers requests granted by the previous owner of the queue: otherwise a new owner would take their upstreams
-     * to run no streams, and these streams would stall beside the first long prompts.
+     * Registers requests granted by the previous owner of the queue: otherwise a new owner would assume that
+     * their upstreams run no streams, and these streams would stall beside the first long prompts.
      */
     override adopted({ upstream }: UpstreamLoad, request: SelectionRequest, runningMs: number): void {
         this.promptCache.recordSent(request.parts, upstream.id, request.now - runningMs);
--- a/src/upstream/memoryUse/test.ts
+++ b/src/upstream/memoryUse/test.ts
@@ -9,7 +9,7 @@
 }
 
 describe("MemoryUse", () => {
-    it("counts a part that several requests begin with once", () => {
+    it("counts a leading part shared by several requests once", () => {
         const use = new MemoryUse();
         assert.equal(use.tokensFor(makeDemand("a")), 6_600);
         use.add(makeDemand("a"));
@@ -28,7 +28,7 @@
         assert.equal(use.tokens, 0);
     });
 
-    it("counts a prompt without known parts whole", () => {
+    it("counts the whole of a prompt without known parts", () => {
         const use = new MemoryUse();
         use.add({ parts: [], promptTokens: 800, predictedTokens: 50 });
         assert.equal(use.tokens, 850);
--- a/src/upstream/partsPlacement/index.ts
+++ b/src/upstream/partsPlacement/index.ts
@@ -44,7 +44,7 @@
      *
      * Considers only recently used parts: these will be needed again soon, while transferring parts that are not used
      * again costs more than recomputing them once. Considers only upstreams that have certainly finished the prefill:
-     * one that is still at it has nothing to transfer. A leaving upstream is as good a source as any until it has gone,
+     * one that is still prefilling has nothing to transfer. A leaving upstream is as good a source as any until it has gone,
      * and the only one for parts that it alone holds.
      *
      * @param findSource - Finds an upstream that is present and responsive; it may be the chosen one.
--- a/src/upstream/pauseForecast/test.ts
+++ b/src/upstream/pauseForecast/test.ts
@@ -48,7 +48,7 @@
         assert.ok(pauseMs > 40 && pauseMs < 60, `${pauseMs} ms`);
     });
 
-    it("learns nothing from streams beside which there was little prefill", () => {
+    it("learns nothing from streams with little prefill beside them", () => {
         const forecast = new PauseForecast(new FixedModel());
         const before = forecast.predictPauseMs(makePeriod(5_000, 2_048), EVENT_TOKENS);
         for (let i = 0; i < 200; i++) forecast.learn(makePeriod(60, 2_048), EVENT_TOKENS, 60);
--- a/src/upstream/poolMembers/index.ts
+++ b/src/upstream/poolMembers/index.ts
@@ -16,7 +16,7 @@
     private members: UpstreamLoad[] = [];
     private readonly freeList: UpstreamLoad[] = [];
     private readonly freeListIndexes = new Map<UpstreamLoad, number>();
-    /** Members backing off after failures, and whether these are so many that they get work nevertheless. */
+    /** Members backing off after failures, and whether they are most of the pool and so get work nevertheless. */
     private readonly backingOff = new Set<UpstreamLoad>();
     private mostBackOff = false;
     /** Members that take few requests per second: their free slots change with time alone. */
--- a/src/upstream/prefillHistory/test.ts
+++ b/src/upstream/prefillHistory/test.ts
@@ -13,7 +13,7 @@
         assert.deepEqual(history.extend(350, 800, 300), { startsAt: 300, endsAt: 350, promptTokens: 800 });
     });
 
-    it("predicts long periods at the recent rate, and none longer than there were", () => {
+    it("predicts long periods at the recent rate, and none longer than those recorded", () => {
         const history = new PrefillHistory();
         for (let now = 0; now < 5_000; now += 1_000) history.record(now + 300, 1_000, now);
         assert.ok(history.harmProbability(longerThan(200), 500, 5_000) > 0.7);
--- a/src/upstream/prefixIndex/test.ts
+++ b/src/upstream/prefixIndex/test.ts
@@ -31,7 +31,7 @@
         assert.ok(index.cachedShare(PROMPT, U1) > 0.5);
     });
 
-    it("stays within its bound and forgets all of an upstream", () => {
+    it("stays within its bound and forgets everything known of an upstream", () => {
         const index = new PrefixIndex(3);
         index.record(["p1", "p2", "p3", "p4"], U1);
         assert.equal(index.cachedShare(["p1"], U1), 0);
--- a/src/upstream/promptCache/test.ts
+++ b/src/upstream/promptCache/test.ts
@@ -18,7 +18,7 @@
         assert.equal(cache.heldTokens([SYSTEM], "b" as UpstreamId), 0);
     });
 
-    it("evicts the least recently used part first, and of one prompt the last one", () => {
+    it("evicts the least recently used part first, and of one prompt's parts the last one", () => {
         const cache = new PromptCache(() => 480);
         cache.recordSent([SYSTEM, SUBJECT], A, 0);
         cache.recordSent([SYSTEM, OWN], A, 0);
--- a/src/upstream/requestAllowance/test.ts
+++ b/src/upstream/requestAllowance/test.ts
@@ -17,7 +17,7 @@
 }
 
 describe("RequestAllowance", () => {
-    it("has no bound before an upstream states a limit, and none after it states none any more", () => {
+    it("has no bound before an upstream states a limit, or after it has stopped stating one", () => {
         const allowance = new RequestAllowance(() => 1);
         assert.equal(allowance.available(0), Infinity);
         allowance.update(2, 0, 0, 0);
--- a/src/upstream/requestLimits/test.ts
+++ b/src/upstream/requestLimits/test.ts
@@ -32,7 +32,7 @@
         assert.equal(limits.list(POOL).length, 1);
     });
 
-    it("forgets upstreams that have ended, and the oldest of very many", () => {
+    it("forgets upstreams that have ended, and the oldest beyond its maximum size", () => {
         const limits = new RequestLimits(new VirtualClock());
         limits.record(POOL, UPSTREAM, 2);
         limits.forget(UPSTREAM);
--- a/src/usage/spendLedger/test.ts
+++ b/src/usage/spendLedger/test.ts
@@ -10,8 +10,8 @@
 const CONTEXT = { index: 1 as LogIndex, proposedAt: 5 };
 
 function makeReserve(host: string, sequence: number, tokens: number): ReserveCommand {
-    const who = { host, incarnation: "1", sequence };
-    return { kind: "spend.reserve", workspace: WORKSPACE, window: WINDOW, ...who, tokens };
+    const sender = { host, incarnation: "1", sequence };
+    return { kind: "spend.reserve", workspace: WORKSPACE, window: WINDOW, ...sender, tokens };
 }
 
 describe("SpendLedger", () => {
@@ -25,10 +25,10 @@
                 fc.integer({ min: 0, max: 60 }),
                 fc.boolean(),
             ));
-            const check = (asks: [string, number, number, boolean][]): void => {
+            const check = (requests: [string, number, number, boolean][]): void => {
                 let ledger = new SpendLedger();
                 const granted = new Map<string, number>();
-                for (const [host, sequence, tokens, restarts] of asks) {
+                for (const [host, sequence, tokens, restarts] of requests) {
                     const answer = ledger.reserve(makeReserve(host, sequence, tokens), 100, CONTEXT).granted;
                     const name = `${host} ${sequence}`;
                     assert.equal(granted.get(name) ?? answer, answer);
--- a/src/usage/usageLedger/index.ts
+++ b/src/usage/usageLedger/index.ts
@@ -183,10 +183,10 @@
 
     /** Adds a sum that has not been counted before; late usage goes to the first open window, with an adjustment. */
     addSum({ window, line }: UsageSum): void {
-        const late = window < this.openFrom;
-        const state = this.findOrOpenWindow(late ? this.openFrom as WindowStart : window);
+        const isLate = window < this.openFrom;
+        const state = this.findOrOpenWindow(isLate ? this.openFrom as WindowStart : window);
         addLine(state.lines, line);
-        if (late) addAdjustment(state.adjustments, { of: window, line });
+        if (isLate) addAdjustment(state.adjustments, { of: window, line });
     }
 
     private freeze(window: WindowStart, windowMs: number, context: ApplyContext): void {
