--- a/src/consensus/membershipManager/index.ts
+++ b/src/consensus/membershipManager/index.ts
@@ -119,7 +119,7 @@
     /**
      * Returns whether a leader treats this replica as a member. The local configuration is not sufficient: the entry
      * that added a learner may have been removed by a later leader, and a removed replica does not receive the entry
-     * that removes it. A member that hears from no leader for a lease is therefore not recognized either.
+     * that removes it. A member that receives nothing from a leader for a lease is therefore not recognized either.
      */
     private isRecognizedAsMember(): boolean {
         const { replica } = this;
--- a/src/consensus/replica/index.ts
+++ b/src/consensus/replica/index.ts
@@ -57,7 +57,7 @@
     readonly timing: LogTiming;
     readonly store: LogStore;
     readonly logger: Logger;
-    /** Opened at each change of role, term or configuration. */
+    /** Notified at each change of role, term or configuration. */
     readonly changed = new WaitCondition();
     private readonly options: ReplicaOptions;
     private readonly votingState: VotingState;
@@ -100,8 +100,8 @@
         this.configurations = new MemberHistory(this.committedIndex, base, () => this.changed.notifyAll());
         const state = store.takeLoadedSnapshotState();
         if (state) this.applier.restore(this.committedIndex, state);
-        const uncommitted = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
-        for (const entry of uncommitted) this.recordConfiguration(entry);
+        const laterEntries = this.log.slice(this.committedIndex + 1 as LogIndex, Number.POSITIVE_INFINITY);
+        for (const entry of laterEntries) this.recordConfiguration(entry);
     }
 
     get storeId(): StoreId {
@@ -191,7 +191,7 @@
      *
      * Prevents seconds without a leader: a newly elected leader may be unseated by a candidate that started before it
      * received the leader's messages. If a promise blocked all candidates, every replica that made one to the new
-     * leader would refuse everybody, including that leader. A promise therefore blocks only other candidates.
+     * leader would refuse every candidate, including that leader. A promise therefore blocks only other candidates.
      */
     mayVoteFor(candidate: StoreId): boolean {
         const isPromisedToCandidate = this.promisedLeader === candidate && !this.isInRestartPause;
--- a/src/control/abandonedCallReaper/index.ts
+++ b/src/control/abandonedCallReaper/index.ts
@@ -18,7 +18,7 @@
 /**
  * Closes the open call records of entry processes that have ended, with the outcome "unknown".
  *
- * Without it, callers would be told "running" forever when an entry is lost between record and answer, since nobody else may resend
+ * Without it, callers would receive "running" forever when an entry is lost between record and answer, since nobody else may resend
  * the call. Waits until the entry's lease has expired, so that calls of a live entry are not closed.
  */
 export class AbandonedCallReaper extends HolderTask {
--- a/src/control/controlClient/index.ts
+++ b/src/control/controlClient/index.ts
@@ -57,8 +57,8 @@
 /**
  * An entry's client of the control hosts: a task that keeps the view fresh, and commands to the holder of the lease.
  *
- * Prevents the use of an outdated view: the freshness lease is counted by `Clock.monotonicWithSuspend` from when the pull was sent, so an entry that was
- * partitioned, frozen or suspended finds its view stale no later than the holder does.
+ * Prevents the use of an outdated view: the freshness lease is counted by `Clock.monotonicWithSuspend` from when the pull was sent, so an
+ * entry that was partitioned, frozen or suspended finds its view stale no later than the holder does.
  *
  * @example
  * lifecycle.run(signal => client.run(signal), logError);
--- a/src/dispatch/order/tierFairOrder/index.ts
+++ b/src/dispatch/order/tierFairOrder/index.ts
@@ -4,7 +4,7 @@
 
 /** Time constant with which granted cost decays when the shares of the tiers are computed, in milliseconds. */
 const GRANTED_SHARE_DECAY_MS = 10_000;
-/** A lower tier may go ahead only while each higher target is at least this many times its predicted time away. */
+/** A lower tier may go ahead only while the time left to each higher target is at least this many times the time needed to meet it. */
 const SLACK_FACTOR = 3;
 
 /**
--- a/src/entry/crashMonitor/index.ts
+++ b/src/entry/crashMonitor/index.ts
@@ -66,7 +66,7 @@
     private localIndex = 0;
     /** Revision at which the last report was applied. */
     private reportedRevision = 0;
-    /** Opened when there is a crash to report. */
+    /** Notified when there is a crash to report. */
     private readonly reportPending = new WaitCondition();
     /** Quarantined requests at the last view change, to log only differences. */
     private loggedQuarantine: ReadonlySet<RequestFingerprint> = new Set();
--- a/src/entry/fleetRouteView/index.ts
+++ b/src/entry/fleetRouteView/index.ts
@@ -6,7 +6,7 @@
 
 /** View of the fleet document that the control client keeps up to date. */
 export class FleetRouteView extends RouteView {
-    /** Opened at each change of the cache. */
+    /** Notified at each change of the cache. */
     private readonly changeGate = new WaitCondition();
 
     constructor(
--- a/src/upstream/upstream/index.ts
+++ b/src/upstream/upstream/index.ts
@@ -83,7 +83,7 @@
 
     /**
      * Returns whether an announcement is newer than the known one. Once an incarnation has announced that it leaves,
-     * nothing more of that incarnation brings it back: a relayed "ready" that crossed the "leaving" would send work to
+     * no later announcement of it makes it available again: a relayed "ready" that crossed the "leaving" would send work to
      * a closing engine.
      */
     isOutdatedBy(announcement: Announcement): boolean {
@@ -136,7 +136,7 @@
 
 /**
  * Returns whether two announcements agree in everything but load and caches: the upstream's location, what it serves,
- * and whether it may get work, even if little.
+ * and whether it may get work, or only little work because it is cold.
  *
  * @param one - An announcement.
  * @param other - Another announcement of the same upstream.
