--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -170,8 +170,8 @@
         });
 
         it("never comes back from a deposed holder", async () => {
-            // Without this, a withdrawn key works again for some seconds after a partition, because a deposed holder serves its old view
-            // without the lease or the entry applies a view of a lower revision.
+            // A withdrawn key would work again for some seconds after a partition if a deposed holder served its old view without the lease,
+            // or if the entry applied a view of a lower revision.
             const fleet = await new Fleet().start();
             const { cache } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
--- a/src/dispatch/admissionPolicy/test.ts
+++ b/src/dispatch/admissionPolicy/test.ts
@@ -17,8 +17,8 @@
 
     describe("a new ticket", () => {
         it("may wait although its predicted wait misses the target", () => {
-            // Without this, a low tier is refused for as long as a burst of a higher one lasts, although half of it
-            // would have been served: a mean over the last seconds was used as a forecast.
+            // If a mean over the last seconds is used as a forecast, a low tier is refused for as long as a burst of a
+            // higher one lasts, although half of it would have been served.
             assert.equal(judge(policy, 0, 5_000), false);
             assert.equal(judge(new PredictedWaitAdmission(), 0, 5_000), true);
         });
