--- a/src/consensus/membershipManager/index.ts
+++ b/src/consensus/membershipManager/index.ts
@@ -119,7 +119,7 @@
     /**
      * Returns whether a leader treats this replica as a member. The local configuration is not sufficient: the entry
      * that added a learner may have been removed by a later leader, and a removed replica does not receive the entry
-     * that removes it. A member that hears from no leader for a lease is therefore not recognized either.
+     * that removes it. A member that receives nothing from a leader for a lease is therefore not recognized either.
      */
     private isRecognizedAsMember(): boolean {
         const { replica } = this;
@@ -174,8 +174,8 @@
             return clock.monotonicWithSuspend() - Math.max(contactAt, leadership.startedAt);
         };
         const others = findVoters(configuration).filter(member => member.storeId !== storeId);
-        const silent = others.filter(member => silentMs(member) >= DEAD_VOTER_TIMEOUT_MS);
-        return silent.sort((a, b) => silentMs(b) - silentMs(a))[0];
+        const unresponsive = others.filter(member => silentMs(member) >= DEAD_VOTER_TIMEOUT_MS);
+        return unresponsive.sort((a, b) => silentMs(b) - silentMs(a))[0];
     }
 
     private isCaughtUp(learner: Member, leadership: Leadership): boolean {
--- a/src/control/controlClient/test.ts
+++ b/src/control/controlClient/test.ts
@@ -142,8 +142,8 @@
         });
 
         it("is in force once the view of a partitioned entry is stale, and not before", async () => {
-            // Guards against a withdrawn key that is reported as in force and still works on a partitioned entry, if an entry that does not
-            // reply is disregarded.
+            // The holder must wait for an entry that does not reply: otherwise it would report the withdrawal as in force while the key still
+            // works on that partitioned entry.
             const fleet = await new Fleet().start();
             const { client, cache } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
@@ -157,7 +157,7 @@
         });
 
         it("is not reported as in force by a new holder that does not know an entry yet", async () => {
-            // The same fault after a change of the holder: the new holder knows no entries and would report every change as in force.
+            // The same fault after a change of the holder: the new holder knows no entries yet and would report every change as in force.
             const fleet = await new Fleet().start();
             const { client } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
@@ -170,8 +170,8 @@
         });
 
         it("never comes back from a deposed holder", async () => {
-            // Guards against a withdrawn key that works again for some seconds after a partition, if a deposed holder serves its old view
-            // without the lease or the entry applies a view of a lower revision.
+            // A withdrawn key would work again for some seconds after a partition if a deposed holder served its old view without the lease,
+            // or if the entry applied a view of a lower revision.
             const fleet = await new Fleet().start();
             const { cache } = fleet.startEntry("e1");
             await fleet.clock.advance(6_000);
@@ -215,10 +215,10 @@
             const { client } = fleet.startEntry("e1");
             await fleet.clock.advance(500);
             fleet.group.proposalOutcome = "lose-answer";
-            const asked = client.command<BeginCallResult>(begin, 2_000);
+            const pendingReply = client.command<BeginCallResult>(begin, 2_000);
             await fleet.clock.advance(200);
             fleet.group.proposalOutcome = "apply";
-            assert.equal((await fleet.clock.runUntil(asked, 3_000)).unsafeCoerce().state, "opened");
+            assert.equal((await fleet.clock.runUntil(pendingReply, 3_000)).unsafeCoerce().state, "opened");
         });
 
         it("reports whether it may have been applied when no reply arrives", async () => {
@@ -233,16 +233,17 @@
 
     describe("the freshness lease", () => {
         it("is counted from the pull, not from the reply", async () => {
-            // Guards against an entry that accepts a withdrawn key after the change is reported as in force, if it counts the lease from the
-            // reply, which may arrive a second after the pull and later than the holder can know.
+            // The entry counts the lease from when it sent the pull. Counted from the reply, which may arrive a second later, the lease
+            // would end later than the holder can know, and the entry would accept a withdrawn key after the change is reported as in
+            // force.
             const clock = new VirtualClock();
-            let asked = 0;
+            let pullCount = 0;
             const link = {
                 isOpen: true,
                 peer: undefined,
                 notify: () => undefined,
                 call: async () => {
-                    await clock.sleep(asked++ === 0 ? 1_000 : 60_000);
+                    await clock.sleep(pullCount++ === 0 ? 1_000 : 60_000);
                     return Right({ leaseMs: LEASE_MS, entries: [] });
                 },
             };
@@ -259,8 +260,8 @@
 
     describe("entries", () => {
         it("stay known to each other when the holder changes, except one that has gone", async () => {
-            // Guards against several queues of one pool, and so lower tiers that run first, after a change of the holder, if each entry
-            // applies a new holder's incomplete list and assumes that it is the only entry.
+            // A new holder's list of entries is incomplete at first. An entry that applied it would assume that it is the only one, so that
+            // one pool gets several queues and a lower tier runs first.
             const fleet = await new Fleet().start();
             const { client } = fleet.startEntry("e1");
             fleet.startEntry("e2");
@@ -318,8 +319,8 @@
 
     describe("an entry whose wall clock was set forward", () => {
         it("is fresh again long before its waiting pull ends", async () => {
-            // Guards against calls that are refused for two seconds when a time service corrects the clock: the jump looks like sleep and makes
-            // the view stale, and the pending pull waits for a change before anything renews the view.
+            // Without a new pull, calls are refused for two seconds whenever a time service corrects the clock: the jump looks like sleep
+            // and makes the view stale, and the pending pull waits for a change before anything renews the view.
             const fleet = await new Fleet().start();
             const { client } = fleet.startEntry("e1");
             await fleet.clock.advance(1_000);
