--- a/src/bench/policy/speed/main.ts
+++ b/src/bench/policy/speed/main.ts
@@ -26,7 +26,7 @@
 
 type DispatcherSize = typeof DISPATCHER_SIZES[number];
 
-/** Engines of a pool that uses `RoutedChoice`, and streams that run on each of them. */
+/** Engines of a pool that uses `FirstTokenPolicy`, and streams that run on each of them. */
 const ROUTED_SIZES = [{ engines: 60, streams: 20 }, { engines: 200, streams: 20 }];
 const ROUTED_CHOICE_COUNT = 3_000;
 
@@ -45,7 +45,7 @@
         + `${formatMicroseconds(exhaustiveMs)}, ${(exhaustiveMs / chosenMs).toFixed(1)} times as much`;
 }
 
-function timeRoutedChoice(choice: FirstTokenPolicy, engines: number, streams: number): number {
+function timeRoutedChoice(policy: FirstTokenPolicy, engines: number, streams: number): number {
     const random = new SeededRandom(1);
     const loads = Array.from(
         { length: engines },
@@ -71,12 +71,12 @@
                 predictedTokens: 100,
                 zone: `z${nextNumber % 6}` as ZoneId,
             };
-            const chosen = choice.choose(loads, request);
-            choice.granted(chosen, request);
+            const chosen = policy.choose(loads, request);
+            policy.granted(chosen, request);
             chosen.load.markSent(now);
-            choice.progressed(request.request, true, now + 60);
+            policy.progressed(request.request, true, now + 60);
             running.push(request.request);
-            if (running.length > engines * streams) choice.ended(running.shift()!, false, now, 200);
+            if (running.length > engines * streams) policy.ended(running.shift()!, false, now, 200);
         }
     };
     let nextNumber = 0;
--- a/src/bench/slopes/capacity/_lib/section.ts
+++ b/src/bench/slopes/capacity/_lib/section.ts
@@ -1,6 +1,6 @@
 /** Table row with one value of a component at `TARGET_SIZE`. */
 export interface CapacityRow {
-    /** What the value is about. */
+    /** Subject of the value, in words. */
     readonly subject: string;
     /** Calculation of the value, in words. */
     readonly arithmetic: string;
@@ -25,7 +25,7 @@
 /** Section of the page on one component at `TARGET_SIZE`. */
 export interface RoleSection {
     readonly title: string;
-    /** How today's code works. */
+    /** Description of today's code, as a paragraph. */
     readonly today: string;
     readonly rows: readonly CapacityRow[];
     /** Exceeded budgets and the mechanisms designed to meet them, as paragraphs; `NOT_BUILT` marks what doesn't exist yet. */
--- a/src/bench/slopes/fit/index.ts
+++ b/src/bench/slopes/fit/index.ts
@@ -28,7 +28,7 @@
 /**
  * Fits a line to all samples.
  *
- * @throws RangeError with fewer than `LEAST_POINTS` sizes.
+ * @throws RangeError with fewer than `MIN_POINTS` sizes.
  * @example
  * fitLine([{ x: 1, samples: [2] }, { x: 2, samples: [4] }, { x: 3, samples: [6] }, { x: 4, samples: [8] }]).perUnit; // 2
  */
--- a/src/bench/slopes/probes/wire/index.ts
+++ b/src/bench/slopes/probes/wire/index.ts
@@ -14,7 +14,7 @@
 const CALL_INTERVAL_MS = 10;
 const ENDS_PER_LINK = 2;
 const CONNECT_POLL_MS = 50;
-/** Ping frame, as `peerChannel` sends it. */
+/** Ping frame, as `PeerChannel` sends it. */
 const PING_FRAME = [1, 0, ""];
 
 const clock = new SystemClock();
--- a/src/discovery/announcementPublisher/index.ts
+++ b/src/discovery/announcementPublisher/index.ts
@@ -49,7 +49,7 @@
  *
  * @example
  * const publisher = new AnnouncementPublisher({ clock, registry, router });
- * const isConfirmed = await publisher.take(announcement);
+ * const isConfirmed = await publisher.receive(announcement);
  */
 export class AnnouncementPublisher {
     private readonly subscribers = new Map<PeerChannel, Subscription>();
--- a/src/discovery/announcementPublisher/test.ts
+++ b/src/discovery/announcementPublisher/test.ts
@@ -81,7 +81,7 @@
 
     it("relays a leaving upstream that it knows from another publisher", async () => {
         // An engine announces that it leaves to a control process that the entry can't reach. The entry is subscribed to another
-        // one, which knows of it; if that did not relay it, the entry would keep sending requests.
+        // one, which has discovered it; if that did not relay it, the entry would keep sending requests.
         const { clock, nodes: [first, second, entry], subscribe, stop } = await makePublishers(["a", "b", "entry"]);
         subscribe(1, 0);
         subscribe(2, 1);
--- a/src/discovery/announcementSubscriber/index.ts
+++ b/src/discovery/announcementSubscriber/index.ts
@@ -15,7 +15,7 @@
 /** Interval at which the level of updates that this process needs is checked. */
 const LEVEL_CHECK_INTERVAL_MS = 200;
 /**
- * How long upstreams are assumed alive after their publisher became unreachable. An upstream that is alive announces itself
+ * Time for which upstreams are assumed alive after their publisher became unreachable. An upstream that is alive announces itself
  * to another publisher if its own is lost, and keeps announcing to its own if that is unreachable only from this process.
  */
 const UNREACHABLE_GRACE_MS = 3_000;
--- a/src/emulator/emulatedCallUpstream/index.ts
+++ b/src/emulator/emulatedCallUpstream/index.ts
@@ -61,7 +61,7 @@
  * Records the calls that it ran, so that tests can find calls that ran twice or for the wrong workspace.
  *
  * @example
- * const upstream = await CallStandIn.start(options);
+ * const upstream = await EmulatedCallUpstream.start(options);
  * upstream.faults.push("lost");
  */
 export class EmulatedCallUpstream {
--- a/src/emulator/emulatedEngine/index.ts
+++ b/src/emulator/emulatedEngine/index.ts
@@ -41,7 +41,7 @@
  * orders, with faults on demand.
  *
  * @example
- * const engine = new EngineStandIn(ports, cfg);
+ * const engine = new EmulatedEngine(ports, cfg);
  * const address = await engine.start();
  */
 export class EmulatedEngine extends EmulatedUpstream {
--- a/src/emulator/emulator/index.ts
+++ b/src/emulator/emulator/index.ts
@@ -32,7 +32,7 @@
  * The emulated platform with its engines and plain services, built from the emulator's settings.
  *
  * @example
- * const emulator = new StandInSet(ports, settings);
+ * const emulator = new Emulator(ports, settings);
  * const platformAddress = await emulator.startAll();
  */
 export class Emulator extends UpstreamProvisioner {
--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -250,7 +250,7 @@
     }
 }
 
-/** Checks that other requests are served in the fault-free phase, and that none is taken for the crashing one. */
+/** Checks that other requests are served in the fault-free phase, and that none is mistaken for the crashing one. */
 function checkOtherRequestsServed(
     { sent }: CallScheduleRun,
     replies: readonly TestReply[],
--- a/src/faultInjection/schedule/index.ts
+++ b/src/faultInjection/schedule/index.ts
@@ -55,7 +55,7 @@
  * @param faultCount - Number of faults to inject.
  * @throws InvariantError when an invariant of the control log is violated.
  * @example
- * const report = await runSchedule(42);
+ * const report = await runReplicaSchedule(42);
  */
 export async function runReplicaSchedule(
     seed: number,
--- a/src/features/steps/crashes.ts
+++ b/src/features/steps/crashes.ts
@@ -38,14 +38,14 @@
     },
 );
 
-Then("at most {int} engines have crashed", function(this: FleetWorld, most: number) {
+Then("at most {int} engines have crashed", function(this: FleetWorld, maxCount: number) {
     const crashed = countCrashed(this.fleet.emulator.engines.values());
-    assert.ok(crashed > 0 && crashed <= most, `${crashed} crashed`);
+    assert.ok(crashed > 0 && crashed <= maxCount, `${crashed} crashed`);
 });
 
-Then("at most {int} services have crashed", function(this: FleetWorld, most: number) {
+Then("at most {int} services have crashed", function(this: FleetWorld, maxCount: number) {
     const crashed = countCrashed(this.fleet.emulator.services.values());
-    assert.ok(crashed > 0 && crashed <= most, `${crashed} crashed`);
+    assert.ok(crashed > 0 && crashed <= maxCount, `${crashed} crashed`);
 });
 
 Then(
--- a/src/ledger/callLedger/test.ts
+++ b/src/ledger/callLedger/test.ts
@@ -45,7 +45,7 @@
     });
 
     describe("a lost host", () => {
-        it("leaves 'unknown', and an answer that arrives later is kept", () => {
+        it("leaves the call 'unknown', and keeps an answer that arrives later", () => {
             const ledger = new CallLedger();
             ledger.begin(makeBegin("r1", "a"), makeContext(1));
             ledger.abandon({ kind: "call.abandon", host: "a", incarnation: "1" }, makeContext(2));
--- a/src/lifecycle/lifecycle/index.ts
+++ b/src/lifecycle/lifecycle/index.ts
@@ -8,7 +8,7 @@
  *
  * @example
  * const lifecycle = new Lifecycle();
- * lifecycle.own(() => listener.close());
+ * lifecycle.addCleanUp(() => listener.close());
  * await lifecycle.close();
  */
 export class Lifecycle {
--- a/src/lifecycle/waitCondition/index.ts
+++ b/src/lifecycle/waitCondition/index.ts
@@ -4,7 +4,7 @@
  * Condition variable: wakes the tasks that wait for a change of state.
  *
  * @example
- * await gate.wait(clock, 1_000, signal);
+ * await condition.wait(clock, 1_000, signal);
  */
 export class WaitCondition {
     private waiters = new Set<() => void>();
@@ -16,7 +16,7 @@
         for (const wake of waiters) wake();
     }
 
-    /** Waits for the next `open`, but at most `limitMs` milliseconds; ends early when the signal is aborted. */
+    /** Waits for the next `notifyAll`, but at most `limitMs` milliseconds; ends early when the signal is aborted. */
     wait(clock: Clock, limitMs: number, signal: AbortSignal): Promise<void> {
         if (signal.aborted) return Promise.resolve();
         return new Promise(resolve => {
--- a/src/load/caller/index.ts
+++ b/src/load/caller/index.ts
@@ -17,7 +17,7 @@
     /** Maximum number of times that a request whose answer was lost is resent; service calls keep their idempotency key. */
     readonly resends: number;
     /**
-     * Which chats are resent after their connection broke: those that had received no token, as client libraries do on their
+     * Chats that are resent after their connection broke: those that had received no token, as client libraries do on their
      * own, or all of them, as a user would.
      */
     readonly chatResends: "before-first-token" | "always";
--- a/src/load/crossCheck/index.ts
+++ b/src/load/crossCheck/index.ts
@@ -3,7 +3,7 @@
 import { RequestResult } from "../requestResult/index.js";
 import { Trace, TraceRequest } from "../trace/index.js";
 
-/** Comparison of what the emulated upstreams ran with what callers were told. */
+/** Comparison of what the emulated upstreams ran with the results that callers received. */
 export interface CrossCheck {
     /** Requests reported as not run that ran, or as answered that did not run; by request id or idempotency key. */
     readonly untruthful: readonly string[];
--- a/src/load/crossCheck/test.ts
+++ b/src/load/crossCheck/test.ts
@@ -30,7 +30,7 @@
 }
 
 describe("crossCheck", () => {
-    it("reports nothing when what ran matches what callers were told", () => {
+    it("reports nothing when what ran matches the results that callers received", () => {
         const results = [makeResult({ tokens: 30 }), makeResult({ kind: "service", request: "r2" })];
         const runs = {
             calls: [{ service: "ledger", digest: DIGEST, runs: 1 }],
--- a/src/platform/heartbeat/test.ts
+++ b/src/platform/heartbeat/test.ts
@@ -20,7 +20,7 @@
     return parseHeartbeat("i-1", Buffer.from(JSON.stringify(heartbeat)));
 }
 
-describe("readHeartbeat", () => {
+describe("parseHeartbeat", () => {
     it("turns a heartbeat into an announcement", () => {
         const announcement = parse(HEARTBEAT).unsafeCoerce();
         assert.deepEqual(
--- a/src/platform/parseFleetDocument/test.ts
+++ b/src/platform/parseFleetDocument/test.ts
@@ -37,7 +37,7 @@
     return parseFleetDocument(Buffer.from(JSON.stringify(config)));
 }
 
-describe("readDocument", () => {
+describe("parseFleetDocument", () => {
     it("turns a configuration into a fleet document", () => {
         const document = parse(CONFIG).unsafeCoerce();
         assert.equal(document.version, 7);
--- a/src/platform/platformDialect/test.ts
+++ b/src/platform/platformDialect/test.ts
@@ -25,7 +25,7 @@
     fetchFrom: undefined,
 };
 
-describe("WireDialect", () => {
+describe("PlatformDialect", () => {
     describe("a caller's head", () => {
         it("is parsed from the platform's headers", () => {
             const head = dialect.readHead(makeRequest([
--- a/src/ports/clock/index.ts
+++ b/src/ports/clock/index.ts
@@ -68,7 +68,7 @@
     }
 
     /**
-     * Waits until the next multiple of a period, as computed by `untilTick`.
+     * Waits until the next multiple of a period, as computed by `msUntilTick`.
      *
      * @param periodMs - The period, in milliseconds.
      * @param signal - Ends the wait early when aborted, without an error.
--- a/src/ports/memoryFabric/index.ts
+++ b/src/ports/memoryFabric/index.ts
@@ -10,7 +10,7 @@
 
 /**
  * In-memory network between simulated hosts, with link failures. A cut link holds back data and delivers it once healed,
- * as TCP retransmission does. `forget` drops all further data on the open connections of two hosts, as a middlebox that has
+ * as TCP retransmission does. `blackholeConnections` drops all further data on the open connections of two hosts, as a middlebox that has
  * lost its state does.
  *
  * @example
@@ -82,7 +82,7 @@
         this.connectActions.set(linkKey(from, to), action);
     }
 
-    /** Runs the action registered by `onceConnected`, if any; called for each connection that is opened. */
+    /** Runs the action registered by `onNextConnection`, if any; called for each connection that is opened. */
     notifyConnected(from: string, to: string): void {
         const action = this.connectActions.get(linkKey(from, to));
         this.connectActions.delete(linkKey(from, to));
--- a/src/ports/serverGuards/index.ts
+++ b/src/ports/serverGuards/index.ts
@@ -33,7 +33,7 @@
     ERR_HTTP_REQUEST_TIMEOUT: REQUEST_TIMEOUT,
 };
 const REQUEST_ID_BYTES = 16;
-/** How long the rest of a body is read and discarded after its request was answered. */
+/** Time for which the rest of a body is read and discarded after its request was answered. */
 const BODY_DISCARD_MS = 1_000;
 
 /**
--- a/src/purchase/coverPurchase/index.ts
+++ b/src/purchase/coverPurchase/index.ts
@@ -75,7 +75,10 @@
         ]);
     }
 
-    /** Covers the top tiers in any case, and the lower tiers as far as the credits left, spread evenly until they expire, allow. */
+    /**
+     * Covers the top tiers in any case. Covers the lower tiers only as far as the remaining credits allow, spread evenly over the
+     * time until they expire.
+     */
     private chooseAffordableMix(pool: PoolId, input: PurchaseInput, supply: readonly ZoneSupply[]): UpstreamMix {
         const mix = this.chooseMixFor(pool, input, supply, this.settings.headroom, 1);
         const affordable = affordablePricePerHour(input) * poolShareOfDemand(pool, input);
--- a/src/purchase/index.ts
+++ b/src/purchase/index.ts
@@ -1,4 +1,4 @@
-/** Capacity planning: the demand forecast, the number of upstreams to run by zone and kind, and what they load ahead of demand. */
+/** Capacity planning: the demand forecast, the number of upstreams to run by zone and kind, and the artifacts to load ahead of demand. */
 export * from "./coverPurchase/index.js";
 export * from "./demandForecast/index.js";
 export * from "./mix/index.js";
--- a/src/purchase/purchasePolicy/index.ts
+++ b/src/purchase/purchasePolicy/index.ts
@@ -74,7 +74,7 @@
 /** An order to the platform to start or stop upstreams. */
 export type PurchaseOrder = StartOrder | StopOrder;
 
-/** Decides which upstreams to run. Performs no orders itself: the holder of the control lease places them, each with its id. */
+/** Decides which upstreams to run. Places no orders itself: the holder of the control lease places them, each with its id. */
 export abstract class PurchasePolicy {
     /**
      * Plans orders; called every few seconds.
--- a/src/time/trueTime/index.ts
+++ b/src/time/trueTime/index.ts
@@ -3,7 +3,7 @@
 
 /** Smallest change of a wall clock against the monotonic clock that counts as a step; drift causes smaller changes between readings. */
 const MIN_STEP_MS = 150;
-/** How long a stepped clock must keep differing before its new time is accepted. */
+/** Time for which a stepped clock must keep differing before its new time is accepted. */
 const ACCEPT_STEP_AFTER_MS = 600_000;
 
 /** Wall clock of one host, as offsets from this process's monotonic clock. */
@@ -26,7 +26,7 @@
  * accepted at once.
  *
  * @example
- * time.learn("control-1" as HostId, reply.wallMs);
+ * time.addReading("control-1" as HostId, reply.wallMs);
  * const window = Math.floor(time.now() / windowMs);
  */
 export class TrueTime {
