--- a/src/bench/slopes/capacity/test.ts
+++ b/src/bench/slopes/capacity/test.ts
@@ -16,8 +16,8 @@
 
     it("has at least four sizes for each slope", async () => {
         const { slopes } = await readSlopeFile(disk);
-        const thin = slopes.filter(({ id, points }) => !SINGLE_FIGURES.test(id) && points.length < MIN_POINTS);
-        assert.deepEqual(thin.map(({ id }) => id), []);
+        const sparse = slopes.filter(({ id, points }) => !SINGLE_FIGURES.test(id) && points.length < MIN_POINTS);
+        assert.deepEqual(sparse.map(({ id }) => id), []);
     });
 
     it("has a slope to 40,000 workspaces, 410 hosts and 1,800 upstreams", async () => {
--- a/src/bench/slopes/main.ts
+++ b/src/bench/slopes/main.ts
@@ -28,8 +28,8 @@
 async function writePage({ check }: { readonly check?: boolean; }): Promise<void> {
     const page = formatComponentsPage(await readSlopeFile(disk));
     if (!check) return disk.replace(COMPONENTS_PAGE, Buffer.from(page));
-    const present = Buffer.from(await disk.read(COMPONENTS_PAGE) ?? []).toString();
-    if (present === page) return;
+    const currentPage = Buffer.from(await disk.read(COMPONENTS_PAGE) ?? []).toString();
+    if (currentPage === page) return;
     console.error(`${COMPONENTS_PAGE} is not what bench/slopes.json gives: run npm run slopes:page`);
     process.exitCode = 1;
 }
--- a/src/bench/slopes/probes/view/index.ts
+++ b/src/bench/slopes/probes/view/index.ts
@@ -20,9 +20,9 @@
 }
 
 async function measureView(sample: SampleState, count: number, recorder: SlopeRecorder): Promise<void> {
-    const plain = sample.state.changeSince(0);
-    recorder.add("view.plain.bytes", count, encodeValue(plain).length);
-    const message = packChange(plain);
+    const unpacked = sample.state.changeSince(0);
+    recorder.add("view.plain.bytes", count, encodeValue(unpacked).length);
+    const message = packChange(unpacked);
     const packed = encodeValue(message);
     recorder.add("view.full.bytes", count, packed.length);
     recorder.addAll("view.full.pack", count, await timeRuns(() => packChange(sample.state.changeSince(0))));
--- a/src/discovery/announcementPublisher/test.ts
+++ b/src/discovery/announcementPublisher/test.ts
@@ -120,7 +120,7 @@
             id = "u1",
         ): Promise<number> {
             let sequence = from;
-            for (let passed = 0; passed < ms; passed += HEARTBEAT_MS) {
+            for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += HEARTBEAT_MS) {
                 const load = { running: sequence, queued: 0, kv_used: 0, tokens_per_second: 0, age_ms: 0 };
                 await publisher.receive(makeAnnouncement({ id, sequence: ++sequence, load }));
                 await clock.advance(HEARTBEAT_MS);
--- a/src/emulator/answerStream/index.ts
+++ b/src/emulator/answerStream/index.ts
@@ -55,9 +55,9 @@
     ) {
         super(req.priority);
         const { fault, meanTokens } = options;
-        const wanted = answerLength(req.messages, meanTokens);
-        this.answerTokens = Math.min(wanted, req.max_tokens);
-        this.finishReason = wanted <= req.max_tokens ? "stop" : "length";
+        const lengthWithoutLimit = answerLength(req.messages, meanTokens);
+        this.answerTokens = Math.min(lengthWithoutLimit, req.max_tokens);
+        this.finishReason = lengthWithoutLimit <= req.max_tokens ? "stop" : "length";
         this.offset = req.resume?.offset ?? 0;
         const isCrossed = fault?.kind === "crossed";
         this.seed = answerSeed(req.messages) + (isCrossed ? CROSSED_SEED_OFFSET : 0);
--- a/src/emulator/answerText/index.ts
+++ b/src/emulator/answerText/index.ts
@@ -71,8 +71,8 @@
  * answerToken(7, 0); // "drum0 "
  */
 export function answerToken(seed: number, offset: number): string {
-    const mixed = Math.imul(seed ^ Math.imul(offset + 1, 0x9e3779b1), 0x85ebca6b) >>> 0;
-    return `${VOCABULARY[(mixed >>> 16) % VOCABULARY.length]}${offset} `;
+    const hash = Math.imul(seed ^ Math.imul(offset + 1, 0x9e3779b1), 0x85ebca6b) >>> 0;
+    return `${VOCABULARY[(hash >>> 16) % VOCABULARY.length]}${offset} `;
 }
 
 /**
--- a/src/emulator/emulatorSettings/test.ts
+++ b/src/emulator/emulatorSettings/test.ts
@@ -30,7 +30,7 @@
             [{ speed: 1 }, /speed/],
         ] as const
     ) {
-        it(`names what is wrong with ${JSON.stringify(values)}`, () => {
+        it(`names the invalid setting in ${JSON.stringify(values)}`, () => {
             const read = readEmulatorSettings(values);
             assert.ok(read.isLeft());
             assert.match((read.extract() as Error).message, expected);
--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -228,7 +228,10 @@
     });
 }
 
-/** Checks that the crashing request reaches no upstream once hosts are connected again and have received it a few times more. */
+/**
+ * Checks that the crashing request reaches no upstream any more once hosts are connected again and have received it a few more
+ * times.
+ */
 function checkQuarantine({ fleet }: CallScheduleRun, faultFreeSince: number): void {
     const quarantinedBy = faultFreeSince + RECONNECT_MS + QUARANTINE_DETECTION_MS;
     const late = fleet.upstreams.flatMap(({ runs }) => runs).filter(({ body, at }) =>
--- a/src/features/steps/answers.ts
+++ b/src/features/steps/answers.ts
@@ -23,7 +23,7 @@
 
 When("{int} tokens have come", async function(this: FleetWorld, tokens: number) {
     const chat = this.chats.at(-1)!;
-    for (let passed = 0; passed < TOKENS_TIMEOUT_MS; passed += POLL_INTERVAL_MS) {
+    for (let elapsedMs = 0; elapsedMs < TOKENS_TIMEOUT_MS; elapsedMs += POLL_INTERVAL_MS) {
         if (chat.received.split(" ").length > tokens) return;
         await this.fleet.advance(POLL_INTERVAL_MS);
     }
--- a/src/features/steps/holders.ts
+++ b/src/features/steps/holders.ts
@@ -10,12 +10,12 @@
 const MS_PER_SECOND = 1_000;
 const REPORT_WAIT_MS = 20_000;
 
-Given("a fleet whose platform {word} old fencing tokens", async function(this: FleetWorld, word: string) {
+Given("a fleet whose platform {word} old fencing tokens", async function(this: FleetWorld, verb: string) {
     await this.startFleet({
         entries: 2,
         controls: 3,
         windowMs: 5_000,
-        emulator: { engines: 3, services: 1, platformChecksFence: word === "refuses" },
+        emulator: { engines: 3, services: 1, platformChecksFence: verb === "refuses" },
     });
 });
 
--- a/src/features/steps/leaving.ts
+++ b/src/features/steps/leaving.ts
@@ -74,10 +74,10 @@
 Then(
     "no engine has more requests than slots within the next {int} ms",
     async function(this: FleetWorld, ms: number) {
-        for (let passed = 0; passed < ms; passed += CHECK_INTERVAL_MS) {
+        for (let elapsedMs = 0; elapsedMs < ms; elapsedMs += CHECK_INTERVAL_MS) {
             await this.fleet.advance(CHECK_INTERVAL_MS);
             for (const { id, queued } of this.fleet.emulator.stats().engines) {
-                assert.equal(queued, 0, `${id} after ${passed} ms`);
+                assert.equal(queued, 0, `${id} after ${elapsedMs} ms`);
             }
         }
     },
--- a/src/features/steps/traces.ts
+++ b/src/features/steps/traces.ts
@@ -65,10 +65,10 @@
     async function(this: TraceWorld, name: string, entries: number, controls: number) {
         this.trace = await readTrace(name);
         const emulator = emulatorSettingsSchema.partial().parse(this.trace.header.emulator);
-        const given = Object.fromEntries(
+        const overrides = Object.fromEntries(
             Object.entries(emulator).filter(([key]) => key in this.trace.header.emulator),
         );
-        await this.startFleet({ entries, controls, emulator: given, windowMs: 5_000 });
+        await this.startFleet({ entries, controls, emulator: overrides, windowMs: 5_000 });
         await deployTrace(this);
     },
 );
--- a/src/features/steps/upstreamLimits.ts
+++ b/src/features/steps/upstreamLimits.ts
@@ -9,10 +9,10 @@
     world: FleetWorld,
     count: number,
     seconds: number,
-    start: (turn: number) => void,
+    start: (index: number) => void,
 ): Promise<void> {
-    for (let turn = 0; turn < count; turn++) {
-        start(turn);
+    for (let index = 0; index < count; index++) {
+        start(index);
         await world.fleet.advance(seconds * MS_PER_SECOND / count);
     }
 }
@@ -29,7 +29,7 @@
     "{int} chats of {int} tokens are spread over all entries within {int} seconds",
     async function(this: FleetWorld, count: number, tokens: number, seconds: number) {
         const { length } = this.fleet.entryNumbers();
-        await startEvenly(this, count, seconds, turn => this.sendChat("hotel", tokens, 1 + turn % length));
+        await startEvenly(this, count, seconds, index => this.sendChat("hotel", tokens, 1 + index % length));
         await this.chatResults();
     },
 );
@@ -38,19 +38,19 @@
     "{int} orders are spread over all entries within {int} seconds",
     async function(this: FleetWorld, count: number, seconds: number) {
         const { length } = this.fleet.entryNumbers();
-        await startEvenly(this, count, seconds, turn => {
-            this.sendOrder("hotel", `order ${turn}`, `key-${turn}`, 1 + turn % length);
+        await startEvenly(this, count, seconds, index => {
+            this.sendOrder("hotel", `order ${index}`, `key-${index}`, 1 + index % length);
         });
         await this.orderResults();
     },
 );
 
-Then("that engine got at most {int} requests", function(this: FleetWorld, most: number) {
-    const got = [...this.fleet.emulator.engines.values()][0].requestsSinceLimitChange;
-    assert.ok(got > 0 && got <= most, `${got} requests`);
+Then("that engine got at most {int} requests", function(this: FleetWorld, maxCount: number) {
+    const received = [...this.fleet.emulator.engines.values()][0].requestsSinceLimitChange;
+    assert.ok(received > 0 && received <= maxCount, `${received} requests`);
 });
 
-Then("that service got at most {int} requests", function(this: FleetWorld, most: number) {
-    const got = [...this.fleet.emulator.services.values()][0].requestsSinceLimitChange;
-    assert.ok(got > 0 && got <= most, `${got} requests`);
+Then("that service got at most {int} requests", function(this: FleetWorld, maxCount: number) {
+    const received = [...this.fleet.emulator.services.values()][0].requestsSinceLimitChange;
+    assert.ok(received > 0 && received <= maxCount, `${received} requests`);
 });
--- a/src/features/world/memoryFleet.ts
+++ b/src/features/world/memoryFleet.ts
@@ -213,9 +213,9 @@
     }
 
     /** Permanently drops all traffic on the open connections between two groups of hosts; new connections work. */
-    blackholeConnections(some: readonly string[], others: readonly string[]): void {
-        for (const a of some) {
-            for (const b of others) {
+    blackholeConnections(group: readonly string[], otherGroup: readonly string[]): void {
+        for (const a of group) {
+            for (const b of otherGroup) {
                 if (a !== b) this.fabric.blackholeConnections(a, b);
             }
         }
--- a/src/features/world/processRun.ts
+++ b/src/features/world/processRun.ts
@@ -137,7 +137,7 @@
     async createWorkspaces(count: number, onCreated: (created: number) => void = () => undefined): Promise<void> {
         for (let created = 1; created <= count; created++) {
             const name = `more-${this.acceptedWorkspaces.length}`;
-            const makeOrigin = (what: string) => ({ operator: OPERATOR, changeId: `${what}-${name}` as ChangeId });
+            const makeOrigin = (action: string) => ({ operator: OPERATOR, changeId: `${action}-${name}` as ChangeId });
             const id = name as WorkspaceId;
             const template = "mixed" as TemplateName;
             await this.applyChange({ kind: "workspace.create", id, template, parameters: [], ...makeOrigin("create") });
@@ -174,10 +174,10 @@
         return await this.fleet.emulatorStats() as EmulatorStats;
     }
 
-    /** Waits until a condition holds. `what` names it in the error message. */
-    async waitUntil(what: string, condition: () => boolean | Promise<boolean>): Promise<void> {
+    /** Waits until a condition holds. `description` names it in the error message. */
+    async waitUntil(description: string, condition: () => boolean | Promise<boolean>): Promise<void> {
         const found = await waitFor(async () => await condition() ? true : undefined, WAIT_TIMEOUT_MS);
-        assert.ok(found, `timed out waiting for ${what}`);
+        assert.ok(found, `timed out waiting for ${description}`);
     }
 
     private async applyChange(change: Parameters<OperatorApi["change"]>[0]): Promise<void> {
--- a/src/load/caller/test.ts
+++ b/src/load/caller/test.ts
@@ -46,22 +46,22 @@
 /** Starts a system with two addresses that sends these answers in order and repeats the last one. */
 async function startSystem(answers: readonly AnswerHandler[], change: Partial<CallerConfig> = {}) {
     const clock = new VirtualClock();
-    const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 1));
+    const httpFabric = new MemoryHttpFabric(new MemoryFabric(clock, () => 1));
     const seen: string[] = [];
     const addresses = ["a", "b"].map(host => ({ host, port: 1 }));
     for (const address of addresses) {
-        await web.http(address.host).serve(address, undefined as never, async (req, res) => {
+        await httpFabric.http(address.host).serve(address, undefined as never, async (req, res) => {
             seen.push(`${address.host} ${findHeader(req.headers, IDEMPOTENCY_HEADER) ?? ""}`.trim());
             await answers[Math.min(seen.length, answers.length) - 1](req, res);
         });
     }
     const caller = new Caller(
-        { clock, random: new SeededRandom(1), http: web.http("caller") },
+        { clock, random: new SeededRandom(1), http: httpFabric.http("caller") },
         { ...DEFAULT_CALLER, addresses, ...change },
     );
     const run = (request: TraceChat | TraceService): Promise<RequestResult> =>
         clock.runUntil(caller.run(request, "key"), LIMIT_MS);
-    return { clock, web, seen, run };
+    return { clock, httpFabric, seen, run };
 }
 
 function answerWithStream(
@@ -146,8 +146,8 @@
         });
 
         it("is sent to another address when a host refuses the connection", async () => {
-            const { web, run } = await startSystem([answerWithStream(EXPECTED_ANSWER)]);
-            web.crash("a");
+            const { httpFabric, run } = await startSystem([answerWithStream(EXPECTED_ANSWER)]);
+            httpFabric.crash("a");
             for (let round = 0; round < 4; round++) assert.equal((await run(CHAT)).verdict, "answered");
         });
 
--- a/src/load/emulatorClient/test.ts
+++ b/src/load/emulatorClient/test.ts
@@ -10,13 +10,13 @@
 describe("EmulatorClient", () => {
     it("applies actions to the emulated upstreams, and fetches what ran", async () => {
         const clock = new VirtualClock();
-        const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
+        const httpFabric = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
         const keyWatch = new KeyWatch();
-        const ports = { clock, random: new SeededRandom(1), http: web.http(CONTROL.host), keyWatch };
+        const ports = { clock, random: new SeededRandom(1), http: httpFabric.http(CONTROL.host), keyWatch };
         const set = new Emulator(ports, { ...DEFAULT_EMULATOR_SETTINGS, host: CONTROL.host, engines: 2 });
         await clock.runUntil(set.startAll(), LIMIT_MS);
         await new ControlApi(ports.http, set, keyWatch).start(CONTROL);
-        const client = new EmulatorClient(web.http("caller"), CONTROL);
+        const client = new EmulatorClient(httpFabric.http("caller"), CONTROL);
 
         await clock.runUntil(client.apply({ action: "crash", upstream: "draft-keflavik-2" }), LIMIT_MS);
         assert.deepEqual(set.stats().engines.map(engine => engine.state), ["ready", "gone"]);
--- a/src/load/replayTrace/test.ts
+++ b/src/load/replayTrace/test.ts
@@ -14,16 +14,16 @@
 
 async function startRefusingEntry() {
     const clock = new VirtualClock();
-    const web = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
+    const httpFabric = new MemoryHttpFabric(new MemoryFabric(clock, () => 0));
     const times: number[] = [];
     const keys = new Set<string>();
-    await web.http("entry").serve(ADDRESS, undefined as never, async (req, res) => {
+    await httpFabric.http("entry").serve(ADDRESS, undefined as never, async (req, res) => {
         times.push(clock.monotonic());
         keys.add(req.headers.find(([name]) => name === "authorization")![1]);
         res.head(503, []);
         res.end(JSON.stringify({ error: { type: "shed", message: "", outcome: "not-run" } }));
     });
-    const ports = { clock, random: new SeededRandom(1), http: web.http("caller") };
+    const ports = { clock, random: new SeededRandom(1), http: httpFabric.http("caller") };
     return { clock, times, keys, ports };
 }
 
--- a/src/purchase/coverPurchase/index.ts
+++ b/src/purchase/coverPurchase/index.ts
@@ -110,9 +110,9 @@
         return chooseMix({ total, afterLoss, minSteady: Math.ceil(afterLoss * steadyShare) }, supply);
     }
 
-    private planKind(kind: UpstreamKind, wanted: number, input: PurchaseInput): PurchaseOrder[] {
+    private planKind(kind: UpstreamKind, targetCount: number, input: PurchaseInput): PurchaseOrder[] {
         const owned = listOwned(kind, input);
-        const missing = wanted - owned.length - countPending(kind, input);
+        const missing = targetCount - owned.length - countPending(kind, input);
         if (missing > 0) {
             this.surplusSince.delete(kindKey(kind));
             return [{ action: "start", ...kind, count: missing } satisfies StartOrder];
--- a/src/purchase/demandForecast/index.ts
+++ b/src/purchase/demandForecast/index.ts
@@ -70,8 +70,8 @@
     /** Returns the forecast demand of each tier of each pool, one start-up time ahead. */
     forecast(): readonly TierDemand[] {
         return [...this.seriesByTier.values()].map(({ pool, tier, level, trend, peak }) => {
-            const ahead = level + Math.max(0, trend) * this.settings.startMs;
-            return { pool, tier, slots: Math.max(ahead, this.settings.peakShare * peak) };
+            const extrapolated = level + Math.max(0, trend) * this.settings.startMs;
+            return { pool, tier, slots: Math.max(extrapolated, this.settings.peakShare * peak) };
         });
     }
 }
--- a/src/purchase/staticPurchase/index.ts
+++ b/src/purchase/staticPurchase/index.ts
@@ -23,11 +23,11 @@
             const isOfKind = (other: { pool: PoolId; reclaimable: boolean; }): boolean =>
                 other.pool === pool && other.reclaimable === reclaimable;
             this.zones.forEach((zone, index) => {
-                const wanted = Math.floor((count + this.zones.length - 1 - index) / this.zones.length);
+                const targetCount = Math.floor((count + this.zones.length - 1 - index) / this.zones.length);
                 const owned = input.owned.filter(other => isOfKind(other) && other.zone === zone && !other.isLeaving);
                 const pending = input.pending.filter(other => isOfKind(other) && other.zone === zone)
                     .reduce((sum, other) => sum + other.count, 0);
-                const missing = wanted - owned.length - pending;
+                const missing = targetCount - owned.length - pending;
                 if (missing > 0) orders.push({ action: "start", pool, zone, reclaimable, count: missing });
             });
         }
--- a/src/purchase/zonePlan/test.ts
+++ b/src/purchase/zonePlan/test.ts
@@ -26,10 +26,10 @@
     it("releases a steady upstream for each reclaimable one that serves in its zone", () => {
         // A zone may have four upstreams of both kinds together: with two steady ones, only two reclaimable ones can start.
         const steady = { ...NONE, ready: 2 };
-        const taken = zone("a", { steady, reclaimable: { ready: 3, ordered: 3, soldOut: false } });
-        const coming = zone("b", { steady, reclaimable: { ready: 2, ordered: 3, soldOut: false } });
-        const waiting = zone("c", { steady, reclaimable: { ready: 0, ordered: 3, soldOut: false } });
-        assert.deepEqual(planCounts([taken, coming, waiting, zone("d")], { needed: 8 }).slice(0, 3), [[0, 3], [1, 3], [
+        const ready = zone("a", { steady, reclaimable: { ready: 3, ordered: 3, soldOut: false } });
+        const partly = zone("b", { steady, reclaimable: { ready: 2, ordered: 3, soldOut: false } });
+        const unready = zone("c", { steady, reclaimable: { ready: 0, ordered: 3, soldOut: false } });
+        assert.deepEqual(planCounts([ready, partly, unready, zone("d")], { needed: 8 }).slice(0, 3), [[0, 3], [1, 3], [
             2,
             3,
         ]]);
--- a/src/store/logStore/test.ts
+++ b/src/store/logStore/test.ts
@@ -12,10 +12,10 @@
 }
 
 function makeEntries(from: number, count: number, term = 1): StoredEntry[] {
-    return Array.from({ length: count }, (_, place) => ({
-        index: from + place as LogIndex,
+    return Array.from({ length: count }, (_, offset) => ({
+        index: from + offset as LogIndex,
         term: term as Term,
-        payload: Buffer.from(`entry ${from + place} of term ${term}`),
+        payload: Buffer.from(`entry ${from + offset} of term ${term}`),
     }));
 }
 
--- a/src/time/trueTime/test.ts
+++ b/src/time/trueTime/test.ts
@@ -60,10 +60,10 @@
         const clock = new SteppedClock();
         const time = new TrueTime(clock);
         time.addReading(A, clock.now());
-        const learn = (): void => time.addReading(A, clock.now() + 1_000);
-        learn();
+        const addSteppedReading = (): void => time.addReading(A, clock.now() + 1_000);
+        addSteppedReading();
         await clock.advance(600_000);
-        learn();
+        addSteppedReading();
         assert.equal(time.now(), clock.now() + 1_000);
     });
 });
--- a/src/workspace/workspaceRegistry/test.ts
+++ b/src/workspace/workspaceRegistry/test.ts
@@ -121,8 +121,8 @@
             assert.equal(registry().viewWorkspace("home" as WorkspaceId)?.weight, 4);
             assert.equal(registry().viewWorkspace("home" as WorkspaceId)?.classes[0].maxWaitMs, 9);
             assert.equal(registry().viewWorkspace(SCHOOL)?.classes[0].maxWaitMs, 5_000);
-            const without = { ...SPEC, parameters: [{ name: "wait" }] };
-            const refused = apply({ kind: "template.put", name: TEMPLATE, spec: without, base: 4 });
+            const specWithoutDefault = { ...SPEC, parameters: [{ name: "wait" }] };
+            const refused = apply({ kind: "template.put", name: TEMPLATE, spec: specWithoutDefault, base: 4 });
             assert.match(JSON.stringify(refused), /workspace school: the parameter wait has no value/);
         });
     });
--- a/src/zone/evacuationTable/test.ts
+++ b/src/zone/evacuationTable/test.ts
@@ -41,16 +41,16 @@
                 zone: fc.constantFrom(VOGAR, KEFLAVIK),
             });
             fc.assert(fc.property(fc.array(command), fc.nat(), (commands, at) => {
-                const whole = new EvacuationTable();
+                const original = new EvacuationTable();
                 const restored = new EvacuationTable();
-                const cut = at % (commands.length + 1);
-                commands.slice(0, cut).forEach((each, index) => whole.apply(each, index + 1));
-                restored.restore(whole.snapshot());
-                commands.slice(cut).forEach((each, index) => {
-                    const position = cut + index + 1;
-                    assert.deepEqual(restored.apply(each, position), whole.apply(each, position));
+                const snapshotAt = at % (commands.length + 1);
+                commands.slice(0, snapshotAt).forEach((each, index) => original.apply(each, index + 1));
+                restored.restore(original.snapshot());
+                commands.slice(snapshotAt).forEach((each, index) => {
+                    const position = snapshotAt + index + 1;
+                    assert.deepEqual(restored.apply(each, position), original.apply(each, position));
                 });
-                assert.deepEqual(restored.snapshot(), whole.snapshot());
+                assert.deepEqual(restored.snapshot(), original.snapshot());
             }));
         });
 
