--- a/src/bench/policy/callerFake/index.ts
+++ b/src/bench/policy/callerFake/index.ts
@@ -121,7 +121,7 @@
         }
     }
 
-    /** Counts the delivered tokens as wasted when the next attempt can't resume the answer. */
+    /** Whether another attempt may be made. Counts the delivered tokens as wasted when that attempt can't resume the answer. */
     private mayRetry(record: RequestRecord, budget: AttemptBudget): boolean {
         const { classProfile: profile } = record.planned;
         if (!profile.repeatable) return false;
--- a/src/discovery/announcementPublisher/index.ts
+++ b/src/discovery/announcementPublisher/index.ts
@@ -140,7 +140,7 @@
         else if (announcement.state !== "ready") this.reportedReady.delete(id);
     }
 
-    /** Returns and forgets reported upstreams that became unresponsive or now announce themselves to another process. */
+    /** Removes and returns the reported upstreams that became unresponsive or now announce themselves to another process. */
     private collectExpired(): ExpiredUpstream[] {
         const { registry, clock } = this.options;
         const expired: ExpiredUpstream[] = [];
--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -220,9 +220,9 @@
     for (const { request } of fleet.upstreams.flatMap(({ runs }) => runs)) {
         counts.set(request, (counts.get(request) ?? 0) + 1);
     }
-    sent.forEach(({ request }, at) => {
+    sent.forEach(({ request }, index) => {
         const runs = counts.get(request) ?? 0;
-        const { status } = replies[at];
+        const { status } = replies[index];
         if (runs > 1) throw new InvariantError(`${request} ran ${runs} times`);
         if (status === 503 && runs > 0) throw new InvariantError(`${request} was refused as not run, but ran`);
     });
@@ -259,8 +259,8 @@
     replies: readonly TestReply[],
     faultFreeSince: number,
 ): void {
-    sent.forEach(({ request, body, sentAt }, at) => {
-        const { body: text, status } = replies[at];
+    sent.forEach(({ request, body, sentAt }, index) => {
+        const { body: text, status } = replies[index];
         if (body === CRASHING_BODY) return;
         if (text.includes("quarantined")) throw new InvariantError(`${request}, "${body}", was quarantined`);
         const isServed = status === 200 || sentAt < faultFreeSince + RECONNECT_MS + QUARANTINE_DETECTION_MS;
--- a/src/features/steps/processes.ts
+++ b/src/features/steps/processes.ts
@@ -227,8 +227,8 @@
 
 /** Checks that no request ended without a final result, with a wrong answer, or with an answer delivered twice. */
 function assertNoneLostOrDoubled({ results }: ProcessRun): void {
-    const bad = results.filter(({ verdict }) => verdict === "lost" || verdict === "doubled");
-    assert.deepEqual(bad, []);
+    const lostOrDoubled = results.filter(({ verdict }) => verdict === "lost" || verdict === "doubled");
+    assert.deepEqual(lostOrDoubled, []);
 }
 
 /** Checks that no call ran twice and that no request reported as not run has run. */
--- a/src/features/world/index.ts
+++ b/src/features/world/index.ts
@@ -116,13 +116,17 @@
         return this.settle(work);
     }
 
-    private sendToReadyEntry(turn: number): void {
-        const ready = this.fleet.entryNumbers().filter(number => {
+    private sendToReadyEntry(index: number): void {
+        const readyEntries = this.fleet.entryNumbers().filter(number => {
             const entry = this.fleet.entries[number];
             return entry && !entry.isDraining && entry.control.isFresh();
         });
-        if (ready.length === 0) return;
-        this.sendChat(turn % 2 === 0 ? "hotel" : "depot", 10 + turn % 20, ready[turn % ready.length] + 1);
+        if (readyEntries.length === 0) return;
+        this.sendChat(
+            index % 2 === 0 ? "hotel" : "depot",
+            10 + index % 20,
+            readyEntries[index % readyEntries.length] + 1,
+        );
     }
 
     /** Advances virtual time until the work is done. */
--- a/src/ports/nodeHttp/index.ts
+++ b/src/ports/nodeHttp/index.ts
@@ -96,13 +96,13 @@
             const abort = (): void => cancel("aborted");
             call.signal?.addEventListener("abort", abort);
             req.on("socket", socket => {
-                const startHeadLimit = (): void => {
+                const startHeadTimeout = (): void => {
                     isConnected = true;
                     clearTimeout(timer);
                     timer = setTimeout(() => cancel("timeout"), call.headTimeoutMs);
                 };
-                if (socket.connecting) socket.once("connect", startHeadLimit);
-                else startHeadLimit();
+                if (socket.connecting) socket.once("connect", startHeadTimeout);
+                else startHeadTimeout();
             });
             req.on("error", err => {
                 hasFailed = true;
@@ -115,14 +115,14 @@
             });
             req.on("response", message => {
                 clearTimeout(timer);
-                const end = isSelfDelimited(message) ? undefined : new ConnectionEndProbe(message.socket);
+                const endProbe = isSelfDelimited(message) ? undefined : new ConnectionEndProbe(message.socket);
                 message.once("close", () => call.signal?.removeEventListener("abort", abort));
                 resolve(Right({
                     status: message.statusCode!,
                     headers: toHeaderList(message.rawHeaders),
                     body: readReplyBody(
                         message,
-                        async () => hasFailed || (await end?.wasReset() ?? false),
+                        async () => hasFailed || (await endProbe?.wasReset() ?? false),
                         () => reason,
                     ),
                     reset: () => req.destroy(),
@@ -235,9 +235,9 @@
     }
 }
 
-function toHeaderList(raw: readonly string[]): HeaderList {
+function toHeaderList(rawHeaders: readonly string[]): HeaderList {
     const pairs: [string, string][] = [];
-    for (let i = 0; i < raw.length; i += 2) pairs.push([raw[i].toLowerCase(), raw[i + 1]]);
+    for (let i = 0; i < rawHeaders.length; i += 2) pairs.push([rawHeaders[i].toLowerCase(), rawHeaders[i + 1]]);
     return pairs;
 }
 
--- a/src/purchase/zonePlan/index.ts
+++ b/src/purchase/zonePlan/index.ts
@@ -108,8 +108,8 @@
 }
 
 /**
- * Counts the steady upstreams that stay until reclaimable ones replace them: both kinds together can't exceed the zone's bound.
- * Counts no more than were ordered last.
+ * Counts the steady upstreams that stay until reclaimable ones replace them: those that are ready, but no more than were ordered
+ * last. Both kinds together can't exceed the zone's bound.
  */
 function currentSteady({ steady }: PoolZoneState): number {
     return Math.min(steady.ready, steady.ordered ?? steady.ready);
--- a/src/tools/account/plotCalls/index.ts
+++ b/src/tools/account/plotCalls/index.ts
@@ -20,10 +20,10 @@
 export function plotCalls(statistics: readonly CallStatistics[], windowMs: number): string {
     const routes = [...new Set(statistics.map(({ route }) => route))];
     const height = MARGIN + routes.length * PANEL_HEIGHT;
-    const panels = routes.map((route, at) => drawPanel(route, statistics, windowMs, MARGIN + at * PANEL_HEIGHT));
-    const legend = BAR_SEGMENTS.map(({ name, colour }, at) =>
-        `<rect x="${MARGIN + 150 * at}" y="12" width="12" height="12" fill="${colour}"/>`
-        + `<text x="${MARGIN + 150 * at + 18}" y="22">${name}</text>`
+    const panels = routes.map((route, index) => drawPanel(route, statistics, windowMs, MARGIN + index * PANEL_HEIGHT));
+    const legend = BAR_SEGMENTS.map(({ name, colour }, index) =>
+        `<rect x="${MARGIN + 150 * index}" y="12" width="12" height="12" fill="${colour}"/>`
+        + `<text x="${MARGIN + 150 * index + 18}" y="22">${name}</text>`
     );
     return `<svg xmlns="http://www.w3.org/2000/svg" width="${WIDTH}" height="${height}" font-family="sans-serif" font-size="11">\n`
         + `${[...legend, ...panels].join("\n")}\n</svg>\n`;
--- a/src/tools/fleet/index.ts
+++ b/src/tools/fleet/index.ts
@@ -147,7 +147,7 @@
         return holder < 0 ? undefined : holder;
     }
 
-    /** Whether a control process reports that it is ready, which includes that it knows the holder of the lease. */
+    /** Whether a control process reports that it is ready, which includes that it has discovered the holder of the lease. */
     isControlReady(number: number): Promise<boolean> {
         return respondsOk(`http://${HOST}:${this.controlPorts[number].operators}${CALLER_PATHS.ready}`);
     }
