--- a/src/bench/policy/engineFake/index.ts
+++ b/src/bench/policy/engineFake/index.ts
@@ -223,24 +223,24 @@
     private step(stepMs: number): void {
         this.isStepScheduled = false;
         if (!this.isAlive) return;
-        for (const running of [...this.running.values()]) this.advanceTask(running, stepMs);
+        for (const task of [...this.running.values()]) this.advanceTask(task, stepMs);
         this.fillSlots();
     }
 
-    private advanceTask(running: EngineTask, stepMs: number): void {
-        running.prefillMs -= stepMs;
-        if (running.prefillMs > 0) return;
-        const { request } = running;
-        const left = request.totalTokens - running.generatedTokens;
-        const generatedTokens = running.hasGenerated
+    private advanceTask(task: EngineTask, stepMs: number): void {
+        task.prefillMs -= stepMs;
+        if (task.prefillMs > 0) return;
+        const { request } = task;
+        const remainingTokens = request.totalTokens - task.generatedTokens;
+        const generatedTokens = task.hasGenerated
             ? TOKENS_PER_STEP
-            : Math.ceil(-running.prefillMs / stepMs * TOKENS_PER_STEP);
-        const tokens = Math.min(left, Math.max(1, generatedTokens));
-        running.hasGenerated = true;
-        running.generatedTokens += tokens;
+            : Math.ceil(-task.prefillMs / stepMs * TOKENS_PER_STEP);
+        const tokens = Math.min(remainingTokens, Math.max(1, generatedTokens));
+        task.hasGenerated = true;
+        task.generatedTokens += tokens;
         this.computedTokens.generated += tokens;
         request.onTokens(tokens);
-        if (running.generatedTokens < request.totalTokens || !this.running.delete(request.request)) return;
+        if (task.generatedTokens < request.totalTokens || !this.running.delete(request.request)) return;
         request.onEnd("done");
     }
 }
--- a/src/discovery/announcementPublisher/test.ts
+++ b/src/discovery/announcementPublisher/test.ts
@@ -67,12 +67,12 @@
 
 describe("AnnouncementPublisher", () => {
     it("sends a new subscriber its whole state, then updates", async () => {
-        const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
-        await publisher.publisher.receive(makeAnnouncement({ id: "u1" }));
+        const { clock, nodes: [control, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
+        await control.publisher.receive(makeAnnouncement({ id: "u1" }));
         subscribe(1, 0);
         await clock.advance(100);
         assert.equal(entry.registry.get(ID)?.state, "ready");
-        await publisher.publisher.receive(makeAnnouncement({ id: "u2" }));
+        await control.publisher.receive(makeAnnouncement({ id: "u2" }));
         await clock.advance(200);
         assert.equal(entry.registry.get("u2" as UpstreamId)?.state, "ready");
         assert.ok(entry.wallTimes.includes("control"));
@@ -96,10 +96,10 @@
     });
 
     it("does not confirm a leaving upstream without any subscriber", async () => {
-        const { clock, nodes: [publisher], stop } = await makePublishers(["control"]);
-        assert.equal(await publisher.publisher.receive(makeAnnouncement({ state: "ready" })), true);
+        const { clock, nodes: [control], stop } = await makePublishers(["control"]);
+        assert.equal(await control.publisher.receive(makeAnnouncement({ state: "ready" })), true);
         assert.equal(
-            await clock.runUntil(publisher.publisher.receive(makeAnnouncement({ sequence: 2, state: "gone" })), 1_000),
+            await clock.runUntil(control.publisher.receive(makeAnnouncement({ sequence: 2, state: "gone" })), 1_000),
             false,
         );
         stop();
@@ -129,7 +129,7 @@
         }
 
         it("gets no load updates, and keeps the upstream ready", async () => {
-            const { clock, nodes: [publisher, entry, owner], subscribe, stop } = await makePublishers([
+            const { clock, nodes: [control, entry, owner], subscribe, stop } = await makePublishers([
                 "control",
                 "entry",
                 "owner",
@@ -138,7 +138,7 @@
             subscribe(1, 0);
             subscribe(2, 0);
             await clock.advance(100);
-            await announceFor(publisher.publisher, clock, 20_000, 0);
+            await announceFor(control.publisher, clock, 20_000, 0);
             assert.equal(entry.registry.get(ID)?.state, "ready");
             assert.equal(entry.registry.get(ID)?.announcement.load.running, 0);
             assert.equal(owner.registry.get(ID)?.announcement.load.running, 39);
@@ -150,26 +150,26 @@
         });
 
         it("gets a change of state at once", async () => {
-            const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
+            const { clock, nodes: [control, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
             entry.setLevel("membership");
             subscribe(1, 0);
-            const sequence = await announceFor(publisher.publisher, clock, 5_000, 0);
-            void publisher.publisher.receive(makeAnnouncement({ sequence: sequence + 1, reclaim_in_ms: 4_000 }));
+            const sequence = await announceFor(control.publisher, clock, 5_000, 0);
+            void control.publisher.receive(makeAnnouncement({ sequence: sequence + 1, reclaim_in_ms: 4_000 }));
             await clock.advance(150);
             assert.equal(entry.registry.get(ID)?.isGrantable, false);
-            void publisher.publisher.receive(makeAnnouncement({ sequence: sequence + 2, state: "leaving" }));
+            void control.publisher.receive(makeAnnouncement({ sequence: sequence + 2, state: "leaving" }));
             await clock.advance(50);
             assert.equal(entry.registry.get(ID)?.state, "leaving");
             stop();
         });
 
         it("gets load as soon as it needs level `all`", async () => {
-            const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
+            const { clock, nodes: [control, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
             entry.setLevel("membership");
             subscribe(1, 0);
-            const sequence = await announceFor(publisher.publisher, clock, 5_000, 0);
+            const sequence = await announceFor(control.publisher, clock, 5_000, 0);
             entry.setLevel("all");
-            await announceFor(publisher.publisher, clock, 1_000, sequence);
+            await announceFor(control.publisher, clock, 1_000, sequence);
             assert.ok(entry.registry.get(ID)!.announcement.load.running > 0);
             stop();
         });
@@ -177,14 +177,14 @@
         it("marks an upstream that stops announcing as silent, and as ready when it resumes", async () => {
             // An engine loses power without announcing it. Entries that get changes only would send to it forever if its publisher
             // did not report that the announcements have stopped.
-            const { clock, nodes: [publisher, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
+            const { clock, nodes: [control, entry], subscribe, stop } = await makePublishers(["control", "entry"]);
             entry.setLevel("membership");
             subscribe(1, 0);
-            const sequence = await announceFor(publisher.publisher, clock, 5_000, 0);
+            const sequence = await announceFor(control.publisher, clock, 5_000, 0);
             await clock.advance(DEFAULT_REGISTRY_TIMING.silentAfterMs + 200);
             entry.registry.expire();
             assert.equal(entry.registry.get(ID)?.state, "silent");
-            await announceFor(publisher.publisher, clock, 1_000, sequence);
+            await announceFor(control.publisher, clock, 1_000, sequence);
             assert.equal(entry.registry.get(ID)?.state, "ready");
             stop();
         });
@@ -207,21 +207,21 @@
         it("keeps the upstreams of a publisher ready that is unreachable for some seconds", async () => {
             // The owner of a queue is cut off from one control host for five seconds. The upstreams that announce themselves there
             // are healthy, and the control host receives their announcements; they must not all be marked as silent.
-            const { clock, fabric, nodes: [publisher, entry], subscribe, stop } = await makePublishers([
+            const { clock, fabric, nodes: [control, entry], subscribe, stop } = await makePublishers([
                 "control",
                 "entry",
             ]);
             subscribe(1, 0);
-            let sequence = await announceFor(publisher.publisher, clock, 3_000, 0);
+            let sequence = await announceFor(control.publisher, clock, 3_000, 0);
             fabric.isolate("entry", ["control"], true);
-            sequence = await announceFor(publisher.publisher, clock, 5_000, sequence);
+            sequence = await announceFor(control.publisher, clock, 5_000, sequence);
             entry.registry.expire();
             assert.equal(entry.registry.get(ID)?.state, "ready");
-            sequence = await announceFor(publisher.publisher, clock, 3_500, sequence);
+            sequence = await announceFor(control.publisher, clock, 3_500, sequence);
             entry.registry.expire();
             assert.equal(entry.registry.get(ID)?.state, "silent");
             fabric.isolate("entry", ["control"], false);
-            await announceFor(publisher.publisher, clock, 3_000, sequence);
+            await announceFor(control.publisher, clock, 3_000, sequence);
             assert.equal(entry.registry.get(ID)?.state, "ready");
             stop();
         });
--- a/src/faultInjection/routedFleet/index.ts
+++ b/src/faultInjection/routedFleet/index.ts
@@ -157,7 +157,7 @@
         const others = this.entries.map((_, entry) => `10.0.1.${entry + 1}`);
         this.fabric.isolate(controlAddress(number).host, [
             ...others,
-            ...this.upstreams.map((_, at) => `${UPSTREAM_HOST_PREFIX}${at + 1}`),
+            ...this.upstreams.map((_, index) => `${UPSTREAM_HOST_PREFIX}${index + 1}`),
         ], isCut);
     }
 
@@ -209,12 +209,12 @@
     /** Kills a control process as a power cut does: unsynced bytes are lost. */
     async killControl(number: number): Promise<void> {
         const control = this.controls[number];
-        const queues = this.queues[number];
+        const queueOwner = this.queues[number];
         this.controls[number] = undefined;
         this.queues[number] = undefined;
         this.fabric.crash(controlAddress(number).host);
         this.disks[number].crash();
-        await Promise.all([control?.close(), queues?.close()]);
+        await Promise.all([control?.close(), queueOwner?.close()]);
     }
 
     makeDisk(): MemoryDisk {
--- a/src/features/world/processRun.ts
+++ b/src/features/world/processRun.ts
@@ -105,8 +105,8 @@
     /** Compares the outcomes that callers received with the runs that the emulator recorded. */
     async crossCheckRuns(): Promise<CrossCheck> {
         const results = await this.finish();
-        const runs = new EmulatorClient(new NodeHttp(), this.fleet.emulatorAddress);
-        return crossCheck(this.trace!, results, await runs.fetchRuns());
+        const client = new EmulatorClient(new NodeHttp(), this.fleet.emulatorAddress);
+        return crossCheck(this.trace!, results, await client.fetchRuns());
     }
 
     /** Starts a streamed chat over an entry, and waits for its first text. */
--- a/src/purchase/coverPurchase/index.ts
+++ b/src/purchase/coverPurchase/index.ts
@@ -103,10 +103,10 @@
         const { topTier, topHeadroom, steadyShare, defaultSlots } = this.settings;
         const slotsPerUpstream = meanSlotsPerUpstream(pool, input) ?? defaultSlots;
         const demand = input.demand.filter(item => item.pool === pool);
-        const top = sumSlots(demand.filter(item => item.tier <= topTier));
-        const lower = sumSlots(demand.filter(item => item.tier > topTier)) * lowerShare;
-        const afterLoss = Math.ceil(top * topHeadroom / slotsPerUpstream);
-        const total = Math.max(1, Math.ceil((top + lower) * headroom / slotsPerUpstream));
+        const topSlots = sumSlots(demand.filter(item => item.tier <= topTier));
+        const lowerSlots = sumSlots(demand.filter(item => item.tier > topTier)) * lowerShare;
+        const afterLoss = Math.ceil(topSlots * topHeadroom / slotsPerUpstream);
+        const total = Math.max(1, Math.ceil((topSlots + lowerSlots) * headroom / slotsPerUpstream));
         return chooseMix({ total, afterLoss, minSteady: Math.ceil(afterLoss * steadyShare) }, supply);
     }
 
--- a/src/purchase/demandForecast/test.ts
+++ b/src/purchase/demandForecast/test.ts
@@ -18,8 +18,8 @@
     });
 
     it("extrapolates rising demand by the start-up time", () => {
-        const ahead = feedDemand(new DemandForecast(), second => second, 0, 120);
-        assert.ok(ahead > 120 && ahead < 120 + DEFAULT_FORECAST.startMs / 1_000, String(ahead));
+        const forecastSlots = feedDemand(new DemandForecast(), second => second, 0, 120);
+        assert.ok(forecastSlots > 120 && forecastSlots < 120 + DEFAULT_FORECAST.startMs / 1_000, String(forecastSlots));
     });
 
     it("keeps a share of a recent peak, which decays", () => {
