--- a/src/bench/slopes/probes/dispatch/index.ts
+++ b/src/bench/slopes/probes/dispatch/index.ts
@@ -38,7 +38,10 @@
     dispatcher.close();
 }
 
-/** With all slots in use, each completion grants a waiting ticket, and a new one replaces it in the queue. */
+/**
+ * Measures the time of one grant with all slots in use: each completion grants a waiting ticket, and a new one replaces it in
+ * the queue.
+ */
 async function measureWaiting(waiting: number, recorder: SlopeRecorder): Promise<void> {
     const { dispatcher, clock } = makeDispatcher(1);
     const granted: Ticket[] = [];
--- a/src/bench/slopes/probes/ledger/index.ts
+++ b/src/bench/slopes/probes/ledger/index.ts
@@ -11,7 +11,10 @@
 const LARGE_ANSWER_BYTES = 16_384;
 const CALLS_PER_ROUND = 500;
 
-/** Measures records of non-repeatable calls in the replicated state, each answered with a small body. */
+/**
+ * Measures records of non-repeatable calls in the replicated state by their number: size, memory, and the time of a call with
+ * a small and with a large answer.
+ */
 export class LedgerProbe extends Probe {
     readonly name = "ledger";
 
@@ -31,7 +34,10 @@
     }
 }
 
-/** Large answers exceed the limit of retained answer bytes, so that each new answer evicts an older one. */
+/**
+ * Measures the time of one call. Large answers exceed the limit of retained answer bytes, so that each new one evicts an
+ * older one.
+ */
 async function measureCalls(id: string, count: number, answerBytes: number, recorder: SlopeRecorder): Promise<void> {
     const sample = new SampleState();
     let number = 0;
--- a/src/load/caller/test.ts
+++ b/src/load/caller/test.ts
@@ -47,12 +47,12 @@
 async function startSystem(answers: readonly AnswerHandler[], change: Partial<CallerConfig> = {}) {
     const clock = new VirtualClock();
     const httpFabric = new MemoryHttpFabric(new MemoryFabric(clock, () => 1));
-    const seen: string[] = [];
+    const arrivals: string[] = [];
     const addresses = ["a", "b"].map(host => ({ host, port: 1 }));
     for (const address of addresses) {
         await httpFabric.http(address.host).serve(address, undefined as never, async (req, res) => {
-            seen.push(`${address.host} ${findHeader(req.headers, IDEMPOTENCY_HEADER) ?? ""}`.trim());
-            await answers[Math.min(seen.length, answers.length) - 1](req, res);
+            arrivals.push(`${address.host} ${findHeader(req.headers, IDEMPOTENCY_HEADER) ?? ""}`.trim());
+            await answers[Math.min(arrivals.length, answers.length) - 1](req, res);
         });
     }
     const caller = new Caller(
@@ -61,7 +61,7 @@
     );
     const run = (request: TraceChat | TraceService): Promise<RequestResult> =>
         clock.runUntil(caller.run(request, "key"), LIMIT_MS);
-    return { clock, httpFabric, seen, run };
+    return { clock, httpFabric, arrivals, run };
 }
 
 function answerWithStream(
@@ -152,8 +152,8 @@
         });
 
         it("is resent when its connection broke before the first token, and after it only if so configured", async () => {
-            const early = await startSystem([resetConnection, answerWithStream(EXPECTED_ANSWER)]);
-            assert.deepEqual((await early.run(CHAT)).verdict, "answered");
+            const cutBeforeToken = await startSystem([resetConnection, answerWithStream(EXPECTED_ANSWER)]);
+            assert.deepEqual((await cutBeforeToken.run(CHAT)).verdict, "answered");
             const broken: AnswerHandler = async (_, res) => {
                 res.head(200, []);
                 void res.write(
@@ -161,8 +161,8 @@
                 );
                 res.reset();
             };
-            const late = await startSystem([broken, answerWithStream(EXPECTED_ANSWER)]);
-            assert.deepEqual((await late.run(CHAT)).reason, "cut");
+            const cutAfterToken = await startSystem([broken, answerWithStream(EXPECTED_ANSWER)]);
+            assert.deepEqual((await cutAfterToken.run(CHAT)).reason, "cut");
             const always = await startSystem([broken, answerWithStream(EXPECTED_ANSWER)], { chatResends: "always" });
             const { verdict, attempts } = await always.run(CHAT);
             assert.deepEqual([verdict, attempts], ["answered", 2]);
@@ -176,13 +176,13 @@
 
     describe("a call of a service", () => {
         it("is resent to the other address with the same idempotency key when its answer is lost", async () => {
-            const { seen, run } = await startSystem([
+            const { arrivals, run } = await startSystem([
                 resetConnection,
                 answerWithBody(200, { confirmed: bookingDigest, run: 1 }),
             ]);
             const { verdict, attempts } = await run(BOOKING);
             assert.deepEqual([verdict, attempts], ["answered", 2]);
-            assert.deepEqual([...seen].sort(), ["a b-1", "b b-1"]);
+            assert.deepEqual([...arrivals].sort(), ["a b-1", "b b-1"]);
         });
 
         it("is doubled when the answer reports a second run", async () => {
