--- a/src/bench/policy/inversionCounter/index.ts
+++ b/src/bench/policy/inversionCounter/index.ts
@@ -11,8 +11,8 @@
 
 /**
  * Counts priority inversions in dispatch decisions: tickets that waited while a lower tier got a slot and were then
- * refused, and preemptions in favor of the same or a lower tier. A grant to a lower tier is
- * no inversion when the higher tier had slack and is granted in time afterwards.
+ * refused, and preemptions in favor of the same or a lower tier. A grant to a lower tier is no inversion when
+ * the higher tier had slack and is granted in time afterwards.
  */
 export class InversionCounter extends DispatchObserver {
     readonly tally: InversionTally = { passedOver: 0, preempted: 0 };
--- a/src/ports/nodeHttp/index.ts
+++ b/src/ports/nodeHttp/index.ts
@@ -19,7 +19,10 @@
 
 /** Maximum idle time of a pooled connection: a middlebox may have dropped its state for one that was idle for longer. */
 const MAX_POOL_IDLE_MS = 2_000;
-/** Maximum idle time of a pooled connection for `recentlyUsedOnly` requests, which must not be lost on a connection that the server has closed. */
+/**
+ * Maximum idle time of a pooled connection for `recentlyUsedOnly` requests, which must not be lost on a connection that the
+ * server has closed.
+ */
 const MAX_RECENT_IDLE_MS = 300;
 const MAX_FREE_SOCKETS_PER_ADDRESS = 256;
 /** Maximum idle time of a caller's connection where the limits have none: Node's default. */
