--- a/src/faultInjection/callSchedule/index.ts
+++ b/src/faultInjection/callSchedule/index.ts
@@ -220,15 +220,18 @@
     for (const { request } of fleet.upstreams.flatMap(({ runs }) => runs)) {
         counts.set(request, (counts.get(request) ?? 0) + 1);
     }
-    sent.forEach(({ request }, at) => {
+    sent.forEach(({ request }, index) => {
         const runs = counts.get(request) ?? 0;
-        const { status } = replies[at];
+        const { status } = replies[index];
         if (runs > 1) throw new InvariantError(`${request} ran ${runs} times`);
         if (status === 503 && runs > 0) throw new InvariantError(`${request} was refused as not run, but ran`);
     });
 }
 
-/** Checks that the crashing request reaches no upstream once hosts are connected again and have received it a few times more. */
+/**
+ * Checks that the crashing request reaches no upstream any more once hosts are connected again and have received it a few more
+ * times.
+ */
 function checkQuarantine({ fleet }: CallScheduleRun, faultFreeSince: number): void {
     const quarantinedBy = faultFreeSince + RECONNECT_MS + QUARANTINE_DETECTION_MS;
     const late = fleet.upstreams.flatMap(({ runs }) => runs).filter(({ body, at }) =>
@@ -250,14 +253,14 @@
     }
 }
 
-/** Checks that other requests are served in the fault-free phase, and that none is taken for the crashing one. */
+/** Checks that other requests are served in the fault-free phase, and that none is mistaken for the crashing one. */
 function checkOtherRequestsServed(
     { sent }: CallScheduleRun,
     replies: readonly TestReply[],
     faultFreeSince: number,
 ): void {
-    sent.forEach(({ request, body, sentAt }, at) => {
-        const { body: text, status } = replies[at];
+    sent.forEach(({ request, body, sentAt }, index) => {
+        const { body: text, status } = replies[index];
         if (body === CRASHING_BODY) return;
         if (text.includes("quarantined")) throw new InvariantError(`${request}, "${body}", was quarantined`);
         const isServed = status === 200 || sentAt < faultFreeSince + RECONNECT_MS + QUARANTINE_DETECTION_MS;
--- a/src/ports/memoryFabric/index.ts
+++ b/src/ports/memoryFabric/index.ts
@@ -10,7 +10,7 @@
 
 /**
  * In-memory network between simulated hosts, with link failures. A cut link holds back data and delivers it once healed,
- * as TCP retransmission does. `forget` drops all further data on the open connections of two hosts, as a middlebox that has
+ * as TCP retransmission does. `blackholeConnections` drops all further data on the open connections of two hosts, as a middlebox that has
  * lost its state does.
  *
  * @example
--- a/src/purchase/coverPurchase/index.ts
+++ b/src/purchase/coverPurchase/index.ts
@@ -75,7 +75,10 @@
         ]);
     }
 
-    /** Covers the top tiers in any case, and the lower tiers as far as the credits left, spread evenly until they expire, allow. */
+    /**
+     * Covers the top tiers in any case. Covers the lower tiers only as far as the remaining credits allow, spread evenly over the
+     * time until they expire.
+     */
     private chooseAffordableMix(pool: PoolId, input: PurchaseInput, supply: readonly ZoneSupply[]): UpstreamMix {
         const mix = this.chooseMixFor(pool, input, supply, this.settings.headroom, 1);
         const affordable = affordablePricePerHour(input) * poolShareOfDemand(pool, input);
@@ -100,16 +103,16 @@
         const { topTier, topHeadroom, steadyShare, defaultSlots } = this.settings;
         const slotsPerUpstream = meanSlotsPerUpstream(pool, input) ?? defaultSlots;
         const demand = input.demand.filter(item => item.pool === pool);
-        const top = sumSlots(demand.filter(item => item.tier <= topTier));
-        const lower = sumSlots(demand.filter(item => item.tier > topTier)) * lowerShare;
-        const afterLoss = Math.ceil(top * topHeadroom / slotsPerUpstream);
-        const total = Math.max(1, Math.ceil((top + lower) * headroom / slotsPerUpstream));
+        const topSlots = sumSlots(demand.filter(item => item.tier <= topTier));
+        const lowerSlots = sumSlots(demand.filter(item => item.tier > topTier)) * lowerShare;
+        const afterLoss = Math.ceil(topSlots * topHeadroom / slotsPerUpstream);
+        const total = Math.max(1, Math.ceil((topSlots + lowerSlots) * headroom / slotsPerUpstream));
         return chooseMix({ total, afterLoss, minSteady: Math.ceil(afterLoss * steadyShare) }, supply);
     }
 
-    private planKind(kind: UpstreamKind, wanted: number, input: PurchaseInput): PurchaseOrder[] {
+    private planKind(kind: UpstreamKind, targetCount: number, input: PurchaseInput): PurchaseOrder[] {
         const owned = listOwned(kind, input);
-        const missing = wanted - owned.length - countPending(kind, input);
+        const missing = targetCount - owned.length - countPending(kind, input);
         if (missing > 0) {
             this.surplusSince.delete(kindKey(kind));
             return [{ action: "start", ...kind, count: missing } satisfies StartOrder];
